--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -1,4 +1,4 @@
-//! Arrivals, waiting and admission.
+//! Queueing, admission and refusal of requests.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,21 +20,22 @@
     size, text, time,
 };
 
-/// Time to come back after a refusal, at the least.
+/// Shortest retry delay that a refusal names.
 pub(crate) const MIN_RETRY: Duration = Duration::from_secs(1);
 
-/// Time to come back after a refusal, at the most.
+/// Longest retry delay that a refusal names, before jitter.
 pub(crate) const MAX_RETRY: Duration = Duration::from_mins(1);
 
-/// Factor by which the estimated wait must exceed the time left before a
-/// request is refused while lower tiers wait, which speaks against overload.
+/// Multiple of the time left that the estimated wait must exceed before a
+/// request is refused while requests of lower tiers wait. Those can be evicted
+/// first, so that the service isn't overloaded yet for the higher tier.
 const REFUSAL_FACTOR: u32 = 2;
 
-/// Part by which the time to come back is spread.
+/// Largest random increase of a retry delay, relative to the delay.
 const RETRY_JITTER: f64 = 0.25;
 
 impl Scheduler {
-    /// Takes a request in: admits it, lets it wait or refuses it.
+    /// Admits a new request, queues it or refuses it.
     pub(crate) fn arrive(
         &mut self,
         now: time::Instant,
@@ -53,7 +54,8 @@
         }
     }
 
-    /// Ends a request that waits, or takes back one that was just admitted.
+    /// Removes a request that its caller gave up, whether it waits or was just
+    /// admitted.
     pub(crate) fn withdraw(&mut self, now: time::Instant, request: id::Request) {
         if let Some(flight) = self.land(request) {
             return self.pump(now, &flight.waiting.profile.service);
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Puts an admitted request that was not handed over back to wait.
+    /// Queues an admitted request again that was not sent to its endpoint.
     pub(crate) fn unsend(&mut self, now: time::Instant, request: id::Request) {
         let Some(flight) = self.land(request) else {
             return;
@@ -75,8 +77,8 @@
         self.enqueue(now, request, waiting);
     }
 
-    /// Returns the request with its cost, if a text is in force and an
-    /// endpoint can serve it.
+    /// Returns the request with its cost, or `None` without a configuration
+    /// or an endpoint that can serve it.
     fn classify(&mut self, profile: Arc<Profile>) -> Option<Waiting> {
         let text = self.text.as_ref()?;
         let service = text.services.get(&profile.service)?;
@@ -112,8 +114,8 @@
         })
     }
 
-    /// Lets a request wait, unless its deadline would pass meanwhile, and
-    /// admits what can be admitted.
+    /// Queues a request, unless its deadline would pass while it waits, and
+    /// admits the requests that fit.
     fn enqueue(&mut self, now: time::Instant, request: id::Request, waiting: Waiting) {
         let profile = Arc::clone(&waiting.profile);
         let lane = self.lane(&profile);
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Admits waiting requests of a service as long as there is room.
+    /// Admits waiting requests of a service while its endpoints have room.
     pub(crate) fn pump(&mut self, now: time::Instant, service: &id::Service) {
         self.pump_suspects(now, service);
         let mut blocked = Vec::new();
@@ -169,7 +171,7 @@
         }
     }
 
-    /// Hands a request to an endpoint.
+    /// Assigns a request to an endpoint.
     pub(crate) fn admit(&mut self, now: time::Instant, request: id::Request, slot: Slot) {
         let Some(waiting) = self.dequeue(now, request) else {
             return;
@@ -203,13 +205,19 @@
         self.effects.push(Effect::Admit(request, name));
     }
 
-    /// Takes a request out of flight.
+    /// Removes an admitted request and frees what it occupied at its endpoint.
     pub(crate) fn land(&mut self, request: id::Request) -> Option<Flight> {
         let flight = self.flights.remove(&request)?;
         let slot = flight.slot;
         let member = self.fleet.get_mut(slot)?;
-        assert!(member.own >= flight.cost, "tokens in flight add up");
-        assert!(member.requests > 0, "requests in flight add up");
+        assert!(
+            member.own >= flight.cost,
+            "request {request} holds more tokens than are in flight at its endpoint"
+        );
+        assert!(
+            member.requests > 0,
+            "request {request} ends at an endpoint without requests in flight"
+        );
         member.own -= flight.cost;
         member.by_tier[fleet::rank(flight.waiting.profile.tier)] -= flight.cost;
         if flight.started.is_none() {
@@ -225,7 +233,7 @@
         Some(flight)
     }
 
-    /// Refuses a request that is known to nobody any more.
+    /// Refuses a request that no queue holds.
     pub(crate) fn refuse(&mut self, request: id::Request, reason: Reason, after: Duration) {
         let spread = self.rng.random_range(1.0..1.0 + RETRY_JITTER);
         let retry_after = after.clamp(MIN_RETRY, MAX_RETRY).mul_f64(spread);
@@ -236,7 +244,7 @@
         self.effects.push(Effect::Refuse(request, refusal));
     }
 
-    /// Refuses everything that waits for the service below this tier.
+    /// Refuses every request below this tier that waits for the service.
     pub(crate) fn shed_below(&mut self, now: time::Instant, service: &id::Service, tier: id::Tier) {
         while let Some((lowest, request)) = self.lowest(service) {
             if lowest <= tier {
@@ -246,7 +254,7 @@
         }
     }
 
-    /// Refuses the requests whose deadline can't be met any more.
+    /// Refuses the waiting requests whose deadline can't be met any more.
     pub(crate) fn expire(&mut self, now: time::Instant, service: &id::Service) {
         let mut late = self.late_suspects(now, service);
         let lanes = self.pools.get(service).map(|pool| &pool.lanes);
@@ -268,7 +276,7 @@
         }
     }
 
-    /// Returns the suspects that wait for too long.
+    /// Returns the waiting suspects whose deadline can't be met any more.
     fn late_suspects(&self, now: time::Instant, service: &id::Service) -> Vec<id::Request> {
         let mut late = Vec::new();
         let line = self.isolation.lines.get(service);
@@ -283,7 +291,7 @@
         late
     }
 
-    /// Takes a request out of the queue, wherever it waits.
+    /// Removes a waiting request from its queue, without admitting it.
     pub(crate) fn forget(&mut self, now: time::Instant, request: id::Request) -> Option<Waiting> {
         let waiting = self.waiting.remove(&request)?;
         let lane = self.lane(&waiting.profile);
@@ -298,13 +306,13 @@
         Some(waiting)
     }
 
-    /// Returns what is known of the waiting requests for a service and model.
+    /// Returns the lane of the request's service and model.
     pub(crate) fn lane(&mut self, profile: &Profile) -> &mut Lane {
         let pool = self.pools.entry(profile.service.clone()).or_default();
         pool.lanes.entry(profile.model.clone()).or_default()
     }
 
-    /// Takes a request that is being admitted out of the queue.
+    /// Removes a request from its queue in order to admit it.
     fn dequeue(&mut self, now: time::Instant, request: id::Request) -> Option<Waiting> {
         let waiting = self.waiting.remove(&request)?;
         let lane = self.lane(&waiting.profile);
@@ -316,7 +324,7 @@
         Some(waiting)
     }
 
-    /// Returns the request to be given up first and its tier.
+    /// Returns the request to evict first and its tier.
     fn lowest(&self, service: &id::Service) -> Option<(id::Tier, id::Request)> {
         let queued = self.pools.get(service).and_then(Pool::victim);
         let suspect = self.lowest_suspect(service);
@@ -326,7 +334,8 @@
         }
     }
 
-    /// Refuses waiting requests beyond the bound, lowest tier first.
+    /// Evicts requests, lowest tier first, while more than [`MAX_WAITING`] wait
+    /// for the service.
     fn bound(&mut self, now: time::Instant, service: &id::Service) {
         while self.pools.get(service).map_or(0, Pool::len) > MAX_WAITING {
             let Some((_, request)) = self.lowest(service) else {
@@ -336,7 +345,7 @@
         }
     }
 
-    /// Refuses a waiting request of the lowest tier for overload.
+    /// Refuses a waiting request of the lowest waiting tier for overload.
     fn evict(&mut self, now: time::Instant, request: id::Request) {
         let Some(waiting) = self.forget(now, request) else {
             return;
@@ -345,12 +354,13 @@
         let lowest = self.lowest(&profile.service);
         assert!(
             lowest.is_none_or(|(tier, _)| tier <= profile.tier),
-            "a lower tier waits while a higher one is refused"
+            "request {request} is refused for overload while a lower tier waits"
         );
         let wait = self.wait(&waiting);
         self.refuse(request, Reason::Overload, wait);
     }
 
+    /// Returns the estimated wait of a request if it arrived now.
     fn wait(&mut self, waiting: &Waiting) -> Duration {
         let profile = &waiting.profile;
         let lane = self.lane(profile);
--- a/lib/src/flight.rs
+++ b/lib/src/flight.rs
@@ -1,4 +1,4 @@
-//! Requests that wait and requests that run.
+//! Waiting requests and requests in flight.
 
 use std::sync::Arc;
 
@@ -7,27 +7,27 @@
 /// A request that waits for an endpoint.
 #[derive(Clone, Debug)]
 pub struct Waiting {
-    /// What is known of it.
+    /// Its properties.
     pub profile: Arc<request::Profile>,
-    /// What stands behind its service.
+    /// Kind of its service.
     pub kind: text::Kind,
-    /// Tokens that it can occupy in an endpoint.
+    /// Tokens that it is expected to occupy at an endpoint.
     pub cost: u64,
-    /// Tokens to be computed for it: what no cache is known to hold of its
-    /// prompt, and its answer.
+    /// Tokens to be computed for it: the part of its prompt that no endpoint is
+    /// known to cache, and its expected answer.
     pub work: u64,
-    /// Its expected length of an answer in tokens.
+    /// Expected tokens of its answer.
     pub output: u64,
     /// Its workspace's share.
     pub share: u32,
-    /// When an endpoint must have it at the latest.
+    /// Latest time of admission that leaves enough time for its answer.
     pub due: time::Instant,
-    /// Endpoints that it was not handed to.
+    /// Endpoints that it could not be sent to.
     pub avoided: Vec<id::Endpoint>,
 }
 
 impl Waiting {
-    /// Returns the request as the queue sees it.
+    /// Returns the queue's entry for the request.
     #[must_use]
     pub fn item(&self, request: id::Request) -> fair::Item {
         fair::Item {
@@ -40,23 +40,23 @@
     }
 }
 
-/// A request that was admitted to an endpoint.
+/// A request in flight: admitted to an endpoint and not ended.
 #[derive(Clone, Debug)]
 pub struct Flight {
-    /// What it was while it waited.
+    /// Its state before it was admitted, for the case that it must wait again.
     pub waiting: Waiting,
-    /// Its endpoint.
+    /// Slot of its endpoint.
     pub slot: fleet::Slot,
-    /// Its cost in tokens at the endpoint.
+    /// Tokens counted for it at the endpoint.
     pub cost: u64,
     /// When it was admitted.
     pub admitted: time::Instant,
-    /// When the first byte came.
+    /// When the first byte of the answer was received.
     pub started: Option<time::Instant>,
     /// Prompt tokens that the endpoint's cache is not known to hold.
     pub uncached: u64,
-    /// Tokens that came since `measured`.
+    /// Tokens received since the last measurement of the speed.
     pub received: u64,
-    /// Since when the speed is measured.
+    /// Time of the last measurement of the speed.
     pub measured: time::Instant,
 }
--- a/lib/src/health.rs
+++ b/lib/src/health.rs
@@ -1,4 +1,4 @@
-//! What endpoints deliver, and what follows for their standing.
+//! Load reports, measurements and probes of endpoints, and the resulting health.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,20 +14,21 @@
     window::FIRST_TOKEN,
 };
 
-/// Time between two probes of an endpoint that does not answer.
+/// Time between two probes of a dead endpoint.
 const PROBE_PERIOD: Duration = Duration::from_secs(1);
 
-/// Time after which a probe counts as lost.
+/// Time after which a probe without a result is sent again.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Span in which several deaths count as one fault of the network.
+/// Span within which the deaths of several endpoints are ascribed to the
+/// network, not to the requests in flight there.
 pub(crate) const DEATH_SPAN: Duration = Duration::from_secs(5);
 
-/// Time over which the speed of a stream is measured.
+/// Shortest time over which the speed of a stream is measured.
 const SPEED_SPAN: Duration = Duration::from_millis(400);
 
 impl Scheduler {
-    /// Takes over an operators' text.
+    /// Applies the operators' configuration.
     pub(crate) fn configure(&mut self, now: time::Instant, text: Arc<text::Text>) {
         for slot in self.fleet.slots() {
             let Some(member) = self.fleet.get_mut(slot) else {
@@ -41,7 +42,7 @@
         self.pump_all(now);
     }
 
-    /// Takes over the host list.
+    /// Replaces the table of endpoints by a new host list.
     pub(crate) fn list(&mut self, now: time::Instant, records: Vec<Record>) {
         let text = self.text.clone();
         let freed = self.fleet.replace(records, |service| {
@@ -56,13 +57,13 @@
         self.pump_all(now);
     }
 
-    /// Takes over the list of live nodes.
+    /// Replaces the list of live nodes.
     pub(crate) fn join(&mut self, members: Vec<(id::Node, id::DataCentre)>) {
         self.members = members;
         self.share_windows();
     }
 
-    /// Divides windows of which nothing is known yet between the nodes.
+    /// Tells every window its share for the current number of nodes.
     fn share_windows(&mut self) {
         let nodes = u64::try_from(self.members.len()).unwrap_or(u64::MAX);
         for slot in self.fleet.slots() {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Takes in what an endpoint says of its load.
+    /// Records a load report of an endpoint.
     pub(crate) fn report(&mut self, now: time::Instant, name: &id::Endpoint, load: Load) {
         let Some(slot) = self.fleet.find(name) else {
             return;
@@ -89,7 +90,7 @@
         self.pump(now, &service);
     }
 
-    /// Takes in a change of an endpoint's prefix cache.
+    /// Records a change of an endpoint's prefix cache.
     pub(crate) fn cache(&mut self, name: &id::Endpoint, cache: &Cache) {
         if let Some(slot) = self.fleet.find(name) {
             self.prefixes.change(slot, cache);
@@ -115,7 +116,7 @@
         self.lane(&profile).first.record(took.as_secs_f64());
     }
 
-    /// Records progress of an answer.
+    /// Records further tokens of an answer and measures the stream's speed.
     pub(crate) fn progress(
         &mut self,
         now: time::Instant,
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Records the end of a request that was admitted.
+    /// Records the end of an admitted request.
     pub(crate) fn end(&mut self, now: time::Instant, request: id::Request, outcome: Outcome) {
         let Some(flight) = self.land(request) else {
             return;
@@ -160,7 +161,7 @@
         self.pump(now, service);
     }
 
-    /// Takes in the result of a probe on a new connection.
+    /// Records the result of a probe on a new connection.
     pub(crate) fn probed(&mut self, now: time::Instant, name: &id::Endpoint, answered: bool) {
         let Some(slot) = self.fleet.find(name) else {
             return;
@@ -182,7 +183,8 @@
         self.pump(now, &service);
     }
 
-    /// Does what is due by time.
+    /// Expires marks, sends due probes, refuses overdue requests and admits
+    /// waiting ones.
     pub(crate) fn tick(&mut self, now: time::Instant) {
         self.marks.expire(now);
         self.deaths.retain(|_, at| now.since(*at) <= DEATH_SPAN);
@@ -195,7 +197,7 @@
         }
     }
 
-    /// Shrinks the windows of endpoints whose first tokens are overdue.
+    /// Decreases the windows of endpoints whose first tokens are overdue.
     fn check_pending(&mut self, now: time::Instant) {
         for flight in self.flights.values() {
             if flight.started.is_some() {
@@ -211,7 +213,8 @@
         }
     }
 
-    /// Avoids an endpoint that could not be reached and returns its name.
+    /// Avoids an endpoint that could not be reached, has it probed and returns
+    /// its name.
     pub(crate) fn avoid(&mut self, now: time::Instant, slot: Slot) -> Option<id::Endpoint> {
         let member = self.fleet.get_mut(slot)?;
         member.avoided_until = now + AVOID_PERIOD;
@@ -220,7 +223,7 @@
         Some(name)
     }
 
-    /// Has an endpoint probed unless a probe is under way.
+    /// Has an endpoint probed, unless it is dead or a probe is pending.
     fn check(&mut self, now: time::Instant, slot: Slot) {
         let Some(member) = self.fleet.get_mut(slot) else {
             return;
@@ -233,7 +236,7 @@
         self.effects.push(Effect::Probe(name));
     }
 
-    /// Learns from the time to the first token of an answered request.
+    /// Records the time to the first token of an answered request.
     fn measure(&mut self, now: time::Instant, flight: &Flight, cached: size::Tokens) {
         let Some(started) = flight.started else {
             return;
@@ -246,6 +249,7 @@
         }
     }
 
+    /// Records the length and speed of a complete answer.
     fn answered(&mut self, now: time::Instant, flight: &Flight, output: size::Tokens) {
         let profile = &flight.waiting.profile;
         self.marks.answered(now, profile.fingerprint);
@@ -264,6 +268,8 @@
         }
     }
 
+    /// Decreases the window of an endpoint that rejected a request and avoids it
+    /// for a while.
     fn rejected(&mut self, now: time::Instant, slot: Slot) {
         let Some(member) = self.fleet.get_mut(slot) else {
             return;
@@ -272,6 +278,8 @@
         member.avoided_until = now + AVOID_PERIOD;
     }
 
+    /// Marks a request whose connection broke or stalled and has its endpoint
+    /// probed.
     fn broken(&mut self, now: time::Instant, flight: &Flight) {
         let fingerprint = flight.waiting.profile.fingerprint;
         if let Some(member) = self.fleet.get_mut(flight.slot) {
@@ -282,7 +290,7 @@
         self.check(now, flight.slot);
     }
 
-    /// Probes endpoints that are dead or whose probe was lost.
+    /// Probes dead endpoints and those whose pending probe timed out.
     fn probe_due(&mut self, now: time::Instant) {
         for slot in self.fleet.slots() {
             let Some(member) = self.fleet.get_mut(slot) else {
--- a/lib/src/pool.rs
+++ b/lib/src/pool.rs
@@ -1,4 +1,4 @@
-//! What waits for one service.
+//! Waiting requests and observed rates of one service, by model.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,43 +9,44 @@
     time,
 };
 
-/// Requests that may wait for one service in one node.
+/// Most requests that may wait for one service at one node.
 pub const MAX_WAITING: usize = 4096;
 
-/// Waiting requests for one model of a service, and what was observed of it.
+/// The queue of one model of a service, with its observed rates.
 #[derive(Clone, Debug, Default)]
 pub struct Lane {
     /// The waiting requests.
     pub queue: Queue,
-    /// Tokens admitted while something waited.
+    /// Rate of tokens admitted while requests waited.
     drain: Meter,
-    /// All tokens admitted.
+    /// Rate of all tokens admitted.
     admitted: Meter,
-    /// Tokens that came in, by tier.
+    /// Rate of arriving tokens, by tier.
     arrivals: BTreeMap<id::Tier, Meter>,
-    /// Seconds to the first token.
+    /// Average time to the first token in seconds.
     pub first: Average,
-    /// Tokens per second of a stream.
+    /// Average tokens per second of a stream.
     pub speed: Average,
-    /// Tokens generated, relative to the most that was asked for.
+    /// Average of the tokens generated, relative to the most asked for.
     pub length: Average,
 }
 
 impl Lane {
-    /// Records an arrival.
+    /// Records the cost of an arriving request in tokens.
     pub fn arrived(&mut self, now: time::Instant, tier: id::Tier, cost: u64) {
         let meter = self.arrivals.entry(tier).or_default();
         meter.record(now, cost, true);
     }
 
-    /// Records that this much was admitted; called before each change of the
-    /// queue, with zero if nothing was.
+    /// Records the tokens admitted, and whether requests waited since the last
+    /// call. It must be called at every change of the queue, with a cost of zero
+    /// if nothing was admitted.
     pub fn drained(&mut self, now: time::Instant, cost: u64, waited: bool) {
         self.drain.record(now, cost, waited);
         self.admitted.record(now, cost, true);
     }
 
-    /// Returns the time that a new request would wait, if it is known.
+    /// Returns the estimated wait of a new request, if the rates are known.
     #[must_use]
     pub fn wait(&self, tier: id::Tier, workspace: &id::Workspace, share: u32) -> Option<Duration> {
         let ahead = self.queue.ahead(tier, workspace, share);
@@ -60,7 +61,7 @@
         estimate::wait(ahead, drain, above)
     }
 
-    /// Returns the time that an answer of this length takes, zero if unknown.
+    /// Returns the time to serve an answer of this many tokens; zero if unknown.
     #[must_use]
     pub fn service(&self, output: u64) -> Duration {
         let first = self.first.get().unwrap_or(0.0);
@@ -72,7 +73,7 @@
         Duration::from_secs_f64((first + output / speed).min(3600.0))
     }
 
-    /// Returns the expected length of an answer.
+    /// Returns the expected tokens of an answer that may have `output` tokens.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
@@ -86,10 +87,10 @@
     }
 }
 
-/// All that waits for one service, by model.
+/// The lanes of one service, by model.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
-    /// The lanes.
+    /// The lanes by model; `None` for requests that name no model.
     pub lanes: BTreeMap<Option<id::Model>, Lane>,
 }
 
@@ -100,21 +101,21 @@
         self.lanes.values().map(|lane| lane.queue.len()).sum()
     }
 
-    /// Returns whether nothing waits.
+    /// Returns whether no request waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.lanes.values().all(|lane| lane.queue.is_empty())
     }
 
-    /// Returns the request to be given up first and its tier.
+    /// Returns the request to evict first and its tier.
     #[must_use]
     pub fn victim(&self) -> Option<(id::Tier, id::Request)> {
         let victims = self.lanes.values().filter_map(|lane| lane.queue.victim());
         victims.max_by_key(|(tier, _)| *tier)
     }
 
-    /// Returns the model whose next request has the highest tier, of those
-    /// not listed as blocked.
+    /// Returns the next request of the highest tier and its model, leaving out
+    /// the blocked models.
     #[must_use]
     pub fn next(&self, blocked: &[Option<id::Model>]) -> Option<(Option<id::Model>, id::Request)> {
         let mut best: Option<(id::Tier, &Option<id::Model>, id::Request)> = None;
--- a/lib/src/quarantine.rs
+++ b/lib/src/quarantine.rs
@@ -1,10 +1,11 @@
 //! Requests that crash the endpoints they run on.
 //!
-//! A request in flight at the death of an endpoint is a suspect; one that was
-//! in flight at two deaths is refused. Nodes share both kinds of mark as plain
-//! fingerprints: the endpoint that died and a confirmation are marked by further
-//! fingerprints derived from the first, so that hearing of a mark again, or of
-//! the same death from two nodes, never confirms it.
+//! A request that was in flight when an endpoint died is a suspect; one that was
+//! in flight at two deaths is confirmed and refused. Nodes share marks as plain
+//! fingerprints. Which endpoint died, and that a suspect is confirmed, is marked
+//! by further fingerprints derived from that of the request. A mark that is
+//! received again, or the same death reported by two nodes, thus never confirms
+//! a suspect.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,13 +13,13 @@
 
 use crate::{id, time};
 
-/// How long a mark holds.
+/// Time for which a mark holds.
 pub const MARK_TTL: Duration = Duration::from_mins(10);
 
-/// How long an answered suspect stays cleared.
+/// Time for which a suspect stays cleared after it was answered.
 const CLEARED_TTL: Duration = Duration::from_mins(10);
 
-/// Marks that are kept at the most.
+/// Most marks that are kept.
 const MAX_MARKS: usize = 4096;
 
 /// Seed that derives the mark of a confirmed fingerprint.
@@ -27,10 +28,10 @@
 /// Seed that derives the mark of a fingerprint whose connection broke.
 const BROKEN_SEED: u64 = 2;
 
-/// What is known of a fingerprint.
+/// What the marks say of a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing speaks against it.
+    /// It has no marks that hold, or was answered since.
     Clear,
     /// Its connection broke, or it was in flight at one death.
     Suspect,
@@ -38,7 +39,7 @@
     Confirmed,
 }
 
-/// Marks of suspects.
+/// The marks known to one node, with the time when each expires.
 #[derive(Clone, Debug, Default)]
 pub struct Marks {
     marks: BTreeMap<id::Fingerprint, time::Instant>,
@@ -56,19 +57,21 @@
     derived(fingerprint, BROKEN_SEED)
 }
 
+/// Derives a mark from a fingerprint.
 fn derived(fingerprint: id::Fingerprint, seed: u64) -> id::Fingerprint {
     let bytes = fingerprint.0.to_le_bytes();
     id::Fingerprint(xxh3::xxh3_64_with_seed(&bytes, seed))
 }
 
-/// Returns the mark of a fingerprint seen at the death of this endpoint.
+/// Returns the mark of a fingerprint that was in flight at the death of this
+/// endpoint.
 fn at(fingerprint: id::Fingerprint, endpoint: &id::Endpoint) -> id::Fingerprint {
     let seed = fingerprint.0;
     id::Fingerprint(xxh3::xxh3_64_with_seed(endpoint.as_str().as_bytes(), seed))
 }
 
 impl Marks {
-    /// Returns what is known of a fingerprint.
+    /// Returns what the marks say of a fingerprint.
     #[must_use]
     pub fn verdict(&self, now: time::Instant, fingerprint: id::Fingerprint) -> Verdict {
         if self.holds(now, confirmed(fingerprint)) {
@@ -82,7 +85,7 @@
     }
 
     /// Records that the request's connection broke, which may be the first sign
-    /// of a death, and returns the mark to be shared.
+    /// of the endpoint's death, and returns the mark to share with other nodes.
     pub fn broke(&mut self, now: time::Instant, fingerprint: id::Fingerprint) -> id::Fingerprint {
         let mark = broken(fingerprint);
         self.cleared.remove(&fingerprint);
@@ -91,9 +94,10 @@
     }
 
     /// Records that the request was in flight at the death of this endpoint
-    /// and returns the marks to be shared.
+    /// and returns the marks to share with other nodes.
     ///
-    /// Nodes that see the same death mark it alike, so that it counts once.
+    /// Nodes that observe the same death derive the same marks, so that it
+    /// counts once.
     pub fn death(
         &mut self,
         now: time::Instant,
@@ -113,7 +117,7 @@
         marks
     }
 
-    /// Takes over a peer's mark.
+    /// Adds a mark, or extends the time for which it holds.
     pub fn mark(&mut self, now: time::Instant, mark: id::Fingerprint, valid: Duration) {
         let until = now + valid.min(MARK_TTL);
         let held = self.marks.entry(mark).or_insert(until);
@@ -126,14 +130,14 @@
         }
     }
 
-    /// Records that the request was answered whole, which clears a suspect.
+    /// Records that the request was answered completely, which clears a suspect.
     pub fn answered(&mut self, now: time::Instant, fingerprint: id::Fingerprint) {
         if self.verdict(now, fingerprint) == Verdict::Suspect {
             self.cleared.insert(fingerprint, now + CLEARED_TTL);
         }
     }
 
-    /// Drops marks that hold no more.
+    /// Drops expired marks.
     pub fn expire(&mut self, now: time::Instant) {
         self.marks.retain(|_, until| *until > now);
         self.cleared.retain(|_, until| *until > now);
--- a/lib/src/scheduler.rs
+++ b/lib/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The decision core: events in, effects out.
+//! The decision core: takes events and returns effects.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -18,7 +18,7 @@
     text, time,
 };
 
-/// What a core needs to know of its own node.
+/// Properties of the node that a core decides for.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// The node's own name.
@@ -27,12 +27,12 @@
     pub data_centre: id::DataCentre,
     /// Seed of every random choice.
     pub seed: u64,
-    /// How the node decides what it may put on an endpoint.
+    /// How the node chooses endpoints.
     pub policy: Policy,
 }
 
 impl Settings {
-    /// Returns what a choice among endpoints depends on.
+    /// Returns the inputs of a choice other than the endpoints.
     pub(crate) fn terms(&self, now: time::Instant, nodes: usize) -> Terms<'_> {
         Terms {
             now,
@@ -64,7 +64,7 @@
 }
 
 impl Scheduler {
-    /// Builds a core that knows nothing but its own node.
+    /// Creates a core without a configuration, endpoints or peers.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         let rng = SmallRng::seed_from_u64(settings.seed);
@@ -87,13 +87,13 @@
         }
     }
 
-    /// Takes one event and returns what has to be done about it.
+    /// Handles one event and returns the effects to be carried out.
     ///
     /// # Panics
     ///
     /// Panics if an invariant is broken: a request identifier that is used
-    /// twice, tokens in flight that do not add up, or a refusal for overload
-    /// while a lower tier waits for the same service.
+    /// twice, a wrong count of tokens or requests in flight, or a refusal for
+    /// overload while a lower tier waits for the same service.
     pub fn handle(&mut self, now: time::Instant, event: Event) -> Vec<Effect> {
         match event {
             Event::Configured(text) => self.configure(now, text),
@@ -117,13 +117,13 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Returns the number of requests that run.
+    /// Returns the number of admitted requests that have not ended.
     #[must_use]
     pub fn running(&self) -> usize {
         self.flights.len()
--- a/lib/tests/support/mod.rs
+++ b/lib/tests/support/mod.rs
@@ -20,12 +20,13 @@
     time::Instant,
 };
 
-/// A moment in milliseconds.
+/// Returns the instant at this many milliseconds.
 pub fn at(millis: u64) -> Instant {
     Instant::from_micros(millis * 1000)
 }
 
-/// A text with a model service `llm`, a plain one `app` and five workspaces.
+/// Returns a configuration with a model service `llm`, a plain service `app` and
+/// five workspaces.
 pub fn text(window: u64) -> Arc<Text> {
     let service = |kind, window| Service {
         kind,
@@ -54,7 +55,7 @@
     })
 }
 
-/// An endpoint of a service in data centre `a`.
+/// Returns an endpoint of a service in data centre `a`.
 pub fn record(name: &str, service: &str) -> Record {
     Record {
         id: name.into(),
@@ -66,7 +67,8 @@
     }
 }
 
-/// A request of this tier and prompt length that asks for `output` tokens.
+/// Returns a request of this tier and prompt length that asks for `output`
+/// tokens.
 pub fn profile(tier: u8, prompt: u64, output: u64) -> Profile {
     Profile {
         call: "chat".into(),
@@ -84,7 +86,7 @@
     }
 }
 
-/// A load report of this many tokens.
+/// Returns a load report of this many tokens.
 pub fn load(tokens: u64) -> Load {
     Load {
         tokens: Tokens(tokens),
@@ -92,7 +94,8 @@
     }
 }
 
-/// A core that knows a text and `endpoints` endpoints `e0`, `e1` of `llm`.
+/// Returns a core with the configuration of [`text`] and this many endpoints of
+/// `llm`, named `e0`, `e1` and so on.
 pub fn core(policy: Policy, window: u64, endpoints: usize) -> Scheduler {
     let mut core = Scheduler::new(Settings {
         node: "n0".into(),
@@ -109,7 +112,7 @@
     core
 }
 
-/// Lets a request arrive.
+/// Hands a new request to the core and returns the effects.
 pub fn arrive(core: &mut Scheduler, now: u64, request: u64, profile: Profile) -> Vec<Effect> {
     core.handle(
         at(now),
@@ -117,7 +120,7 @@
     )
 }
 
-/// The endpoint that the effects admit this request to.
+/// Returns the endpoint that the effects admit this request to.
 pub fn admitted(effects: &[Effect], request: u64) -> Option<id::Endpoint> {
     for effect in effects {
         if let Effect::Admit(id, endpoint) = effect
@@ -129,7 +132,7 @@
     None
 }
 
-/// The refusal of this request among the effects.
+/// Returns the reason and retry delay with which the effects refuse this request.
 pub fn refused(
     effects: &[Effect],
     request: u64,
--- a/lib/tests/test_admission.rs
+++ b/lib/tests/test_admission.rs
@@ -1,4 +1,4 @@
-//! Arrivals, waiting, refusal and the order of admission.
+//! Queueing, refusal and the order of admission.
 
 mod support;
 
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash endpoints, and those that only stood beside them.
+//! Requests that crash endpoints, and those that only ran beside them.
 
 mod support;
 
@@ -24,7 +24,8 @@
     }
 }
 
-/// Lets the endpoint that runs these requests die; returns the marks.
+/// Breaks these requests and reports their endpoint dead; returns the marks that
+/// the death adds.
 fn die(core: &mut Scheduler, now: u64, endpoint: &str, requests: &[u64]) -> Vec<Fingerprint> {
     for request in requests {
         core.handle(at(now), Event::Ended(Request(*request), Outcome::Broken));
@@ -82,7 +83,8 @@
     assert!(!marks.is_empty());
     tell(&mut two, 20, &marks);
     two.handle(at(20), Event::Probed(first.clone(), false));
-    let second = admitted(&arrive(&mut two, 6000, 1, print(0, 7)), 1).expect("runs once more");
+    let second =
+        admitted(&arrive(&mut two, 6000, 1, print(0, 7)), 1).expect("a suspect runs once more");
     assert_ne!(first, second);
     let marks = die(&mut two, 6010, second.as_str(), &[1]);
     let effects = arrive(&mut two, 6020, 2, print(0, 7));
@@ -168,8 +170,9 @@
     assert_eq!(marks[2..].iter().sum::<usize>(), 0, "{marks:?}");
 }
 
-/// Two nodes, the second of which learns of a death only after the caller sent
-/// the request there again.
+/// One node holds a suspect back until the second node's mark of another death
+/// confirms it. The second node had admitted the request before it learnt of
+/// the first death.
 #[test]
 fn suspect_waits_for_news_and_is_refused_on_its_arrival() {
     let mut one = core(Policy::TwoChoices, 10_000, 4);
@@ -193,7 +196,7 @@
     assert_eq!(refused(&effects, 2).expect("refused").0, Reason::Quarantine);
 }
 
-/// A suspect whose other death never comes runs after the wait.
+/// A suspect that no second death confirms runs after the wait.
 #[test]
 fn suspect_runs_after_the_wait() {
     let mut core = core(Policy::TwoChoices, 10_000, 4);
--- a/lib/tests/test_runs.rs
+++ b/lib/tests/test_runs.rs
@@ -1,4 +1,5 @@
-//! Random sequences of events, late, crossed and repeated, judged by a ledger.
+//! Checks invariants of the core in random sequences of events, some of which are
+//! late, reordered or repeated.
 
 mod support;
 
@@ -23,10 +24,10 @@
 use rstest::rstest;
 use support::{at, load, profile, record, text};
 
-/// Events of one run.
+/// Number of events in one run.
 const EVENTS: u64 = 4000;
 
-/// What the caller of a request knows of it.
+/// State of a request according to the effects that its caller has seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Waiting,
@@ -65,7 +66,8 @@
         }
     }
 
-    /// Hands over an event and enters its effects into the ledger.
+    /// Hands an event to the core, updates the expected states from the effects
+    /// and compares them with the core's counts.
     fn tell(&mut self, event: Event) {
         let effects = self.core.handle(at(self.now), event);
         let mut probes = Vec::new();
@@ -102,8 +104,8 @@
         }
     }
 
-    /// Checks that nothing of a lower tier waits when a request is refused for
-    /// overload.
+    /// Checks that no request of a lower tier waits when a request is refused
+    /// for overload.
     fn overloaded(&self, request: u64) {
         for (other, state) in &self.states {
             let lower = self.tiers[other] > self.tiers[&request];
@@ -224,7 +226,8 @@
         }
     }
 
-    /// Repeats the end of a request that is over; it must change nothing.
+    /// Repeats the end of a request that is already over, which must change
+    /// nothing.
     fn repeat_end(&mut self, request: u64) {
         if self.states.get(&request) == Some(&State::Over) {
             let ended = Event::Ended(id::Request(request), Outcome::Broken);
@@ -249,5 +252,9 @@
     assert!(run.refusals > 100, "{} refusals", run.refusals);
     run.now += 60_000;
     run.tell(Event::Tick);
-    assert_eq!(run.core.waiting(), 0, "nothing waits beyond its deadline");
+    assert_eq!(
+        run.core.waiting(),
+        0,
+        "no request waits beyond its deadline"
+    );
 }
