--- a/lib/src/affinity.rs
+++ b/lib/src/affinity.rs
@@ -1,9 +1,10 @@
-//! Which endpoints hold which prompt prefixes, as far as is known.
+//! Index of the prompt prefixes that each endpoint is known to cache.
 //!
-//! Cache events are believed up to a gap in their numbers; from there on the
-//! endpoint's entries are forgotten. Own dispatches count as a hint, since the
-//! endpoint will hold the prefix soon. The least recently used entries of an
-//! endpoint go first.
+//! A gap in the numbers of an endpoint's cache events clears its entries, since
+//! the missed events may have removed some of them. Requests that this node
+//! sends to an endpoint also add entries, since the endpoint will cache their
+//! prefixes soon. The least recently used entries of an endpoint are evicted
+//! first.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,19 +14,19 @@
     id,
 };
 
-/// Entries that are kept for all endpoints together.
+/// Most entries for all endpoints together.
 const MAX_ENTRIES: usize = 131_072;
 
-/// Entries that are kept for one endpoint at the most.
+/// Most entries for one endpoint.
 const MAX_ENDPOINT_ENTRIES: usize = 2048;
 
-/// Leading blocks of an own dispatch that are taken as a hint.
+/// Most leading blocks of a dispatched request that are added as entries.
 const HINT_BLOCKS: usize = 32;
 
 /// Tokens of one block, estimated from its length in bytes.
 pub const BLOCK_TOKENS: u64 = 64;
 
-/// What is known of one endpoint's cache.
+/// The known content of one endpoint's cache, in the order of use.
 #[derive(Clone, Debug, Default)]
 struct Content {
     sequence: Option<u64>,
@@ -33,7 +34,7 @@
     order: BTreeSet<(u64, id::Prefix)>,
 }
 
-/// Prefixes by endpoint.
+/// The known prefixes of all endpoints.
 #[derive(Clone, Debug, Default)]
 pub struct Index {
     clock: u64,
@@ -42,7 +43,7 @@
 }
 
 impl Index {
-    /// Takes in a cache event; false if it revealed a gap.
+    /// Applies a cache event; returns false if events before it were missed.
     pub fn change(&mut self, slot: Slot, cache: &Cache) -> bool {
         let content = self.contents.entry(slot).or_default();
         let known = content.sequence;
@@ -62,21 +63,21 @@
         gapless
     }
 
-    /// Takes an own dispatch as a hint.
+    /// Adds the leading blocks of a request that is sent to an endpoint.
     pub fn hint(&mut self, slot: Slot, prefixes: &[id::Prefix]) {
         for prefix in prefixes.iter().take(HINT_BLOCKS) {
             self.insert(slot, *prefix);
         }
     }
 
-    /// Forgets an endpoint.
+    /// Removes an endpoint.
     pub fn forget(&mut self, slot: Slot) {
         self.clear(slot);
         self.contents.remove(&slot);
     }
 
-    /// Returns the number of leading blocks that each endpoint holds, for the
-    /// endpoints that hold any.
+    /// Returns the number of leading blocks that each endpoint caches, for the
+    /// endpoints that cache any.
     #[must_use]
     pub fn held(&self, prefixes: &[id::Prefix]) -> BTreeMap<Slot, u64> {
         let mut held = BTreeMap::new();
@@ -97,7 +98,7 @@
         held
     }
 
-    /// Returns the number of leading blocks that an endpoint holds.
+    /// Returns the number of leading blocks that an endpoint caches.
     #[must_use]
     pub fn blocks(&self, slot: Slot, prefixes: &[id::Prefix]) -> u64 {
         let mut blocks = 0;
@@ -116,7 +117,7 @@
         self.holders.len()
     }
 
-    /// Returns whether nothing is known.
+    /// Returns whether there are no entries.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.holders.is_empty()
--- a/lib/src/balance.rs
+++ b/lib/src/balance.rs
@@ -1,4 +1,4 @@
-//! Choice of an endpoint.
+//! Choice of an endpoint among those that can take a request.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -7,33 +7,38 @@
 
 use crate::{fleet, id, time};
 
-/// Load, relative to the mean, up to which prefixes decide.
+/// Multiple of the mean load that an endpoint may exceed by at most
+/// [`LOAD_SLACK`] and still be preferred for the prefixes that it caches.
 const LOAD_FACTOR: f64 = 1.25;
 
-/// Load up to which prefixes decide in any case.
+/// Load above that multiple up to which cached prefixes still decide. Without
+/// it, an endpoint that is barely loaded would be passed over whenever the
+/// others are idle.
 const LOAD_SLACK: f64 = 1.5;
 
-/// Part of the window that each tier may fill, highest first, percent.
+/// Percentage of the window that each tier may fill, highest tier first.
 const TIER_PERCENT: [u64; fleet::TIERS] = [150, 110, 95, 80];
 
-/// How a node decides what it may put on an endpoint.
+/// How a node chooses an endpoint and limits the tokens that it holds there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Policy {
-    /// The next endpoint in turn, without a window; for comparison.
+    /// The next endpoint in turn, without a limit; a baseline for experiments.
     RoundRobin,
-    /// The endpoint with the least reported load; for comparison.
+    /// The endpoint with the least reported load; a baseline for experiments.
     LeastLoad,
-    /// The better of two random endpoints by reported load and own requests.
+    /// The less loaded of two random endpoints, by this node's own tokens and
+    /// the reported tokens of others.
     #[default]
     TwoChoices,
-    /// An equal share of each endpoint's window for every node.
+    /// As [`Policy::TwoChoices`], but every node is limited to an equal share of
+    /// each endpoint's configured window, and ignores the tokens of others.
     Shares,
 }
 
-/// What a choice depends on besides the endpoints.
+/// Inputs of a choice other than the endpoints.
 #[derive(Clone, Copy, Debug)]
 pub struct Terms<'a> {
-    /// The time.
+    /// The current time.
     pub now: time::Instant,
     /// The policy.
     pub policy: Policy,
@@ -46,35 +51,35 @@
 /// One endpoint that could take a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// Its position.
+    /// Its slot in the table of endpoints.
     pub slot: fleet::Slot,
-    /// Tokens in use, as the policy sees them.
+    /// Tokens in use that the policy counts against the limit.
     pub used: u64,
-    /// Tokens of other nodes, by the last report.
+    /// Tokens in use by other nodes, by the endpoint's last load report.
     pub others: u64,
-    /// Tokens that may be in use.
+    /// Limit of the tokens in use, before the tier's percentage.
     pub limit: u64,
-    /// Equal part of the configured window for each node.
+    /// Equal share of the configured window for each node.
     pub share: u64,
     /// Whether it runs in the node's own data centre.
     pub local: bool,
     /// Tokens in use by the request's tier and those above it.
     pub held: u64,
-    /// Leading blocks of the prompt that its prefix cache holds.
+    /// Leading blocks of the prompt that its prefix cache is known to hold.
     pub blocks: u64,
     /// Hash of its name.
     pub key: u64,
-    /// Tokens per second of one stream, if known.
+    /// Tokens per second of one stream, if known and recent.
     pub speed: Option<f64>,
 }
 
 impl Candidate {
-    /// Returns whether a request of this tier and cost fits beside its own and
-    /// higher tiers.
+    /// Returns whether a request of this tier and cost fits beside the requests
+    /// of its own and higher tiers.
     ///
     /// Lower tiers leave a part of the window free for higher ones, and the
-    /// highest may exceed it. A request larger than the whole window fits an
-    /// empty endpoint.
+    /// highest two may exceed it. A request larger than the whole window fits
+    /// an endpoint where nothing is in use.
     #[must_use]
     pub fn fits(&self, tier: id::Tier, cost: u64) -> bool {
         let rank = fleet::rank(tier);
@@ -84,7 +89,8 @@
         self.used == 0 || self.held + cost <= limit
     }
 
-    /// Returns whether an answer of this length can be whole in this time.
+    /// Returns whether an answer of this many tokens can be generated in this
+    /// time; true if the endpoint's speed is unknown.
     #[must_use]
     pub fn is_in_time(&self, output: u64, time: Duration) -> bool {
         #[expect(clippy::cast_precision_loss, reason = "an estimate")]
@@ -93,7 +99,7 @@
             .is_none_or(|speed| output <= speed * time.as_secs_f64())
     }
 
-    /// Returns the part of the node's share that is in use.
+    /// Returns the tokens in use, relative to the node's share of the window.
     #[must_use]
     pub fn load(&self) -> f64 {
         #[expect(clippy::cast_precision_loss, reason = "a ratio")]
@@ -101,7 +107,7 @@
         load
     }
 
-    /// Returns the tokens of all nodes, relative to the node's own window.
+    /// Returns the tokens in use by all nodes, relative to the node's own limit.
     #[must_use]
     pub fn total(&self) -> f64 {
         #[expect(clippy::cast_precision_loss, reason = "a ratio")]
@@ -111,7 +117,7 @@
 }
 
 impl Terms<'_> {
-    /// Returns the endpoint as the policy sees it.
+    /// Returns an endpoint with the usage and limit that the policy counts.
     #[must_use]
     pub fn candidate(
         &self,
@@ -155,7 +161,8 @@
         }
     }
 
-    /// Chooses among candidates that have room.
+    /// Chooses among the candidates that have room, the node's own data centre
+    /// first; `first` is the hash of the prompt's first block.
     #[must_use]
     pub fn choose(
         &self,
@@ -183,7 +190,7 @@
     }
 }
 
-/// Returns the next candidate in turn.
+/// Returns the next candidate in round-robin order.
 fn next(turn: &mut u64, pool: &[Candidate]) -> Option<Candidate> {
     let len = u64::try_from(pool.len()).ok().filter(|len| *len > 0)?;
     *turn += 1;
@@ -197,8 +204,8 @@
     pool.iter().min_by(by_load).copied()
 }
 
-/// Returns the endpoint that holds most of the prompt, unless its load is
-/// above the bound; of equals, the least loaded.
+/// Returns the candidate that caches most leading blocks of the prompt, among
+/// those within the load bound; of equals, the least loaded.
 fn bounded(pool: &[Candidate]) -> Option<Candidate> {
     let bound = bound(pool);
     let eligible = |each: &&Candidate| each.blocks > 0 && each.load() <= bound;
@@ -208,7 +215,7 @@
     pool.iter().filter(eligible).max_by(by_held).copied()
 }
 
-/// Returns the load up to which an endpoint is preferred for its prefixes.
+/// Returns the load up to which an endpoint is preferred for cached prefixes.
 fn bound(pool: &[Candidate]) -> f64 {
     let total: f64 = pool.iter().map(Candidate::load).sum();
     #[expect(clippy::cast_precision_loss, reason = "a mean")]
@@ -216,8 +223,8 @@
     mean * LOAD_FACTOR + LOAD_SLACK
 }
 
-/// Returns the less loaded of the two endpoints that all nodes prefer for the
-/// prefix.
+/// Returns the less loaded of the two endpoints with the highest rendezvous
+/// weights for the prefix, which are the same at all nodes.
 fn preferred(first: id::Prefix, pool: &[Candidate]) -> Option<Candidate> {
     let weight = |each: &Candidate| xxh3::xxh3_64_with_seed(&each.key.to_le_bytes(), first.0);
     let mut ranked = pool.to_vec();
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -13,62 +13,66 @@
     window::Window,
 };
 
-/// How long an endpoint that refused a connection is avoided.
+/// Time for which an endpoint that refused a connection or a request gets no
+/// new work.
 pub const AVOID_PERIOD: Duration = Duration::from_secs(1);
 
-/// Tiers of the operators' text at the most.
+/// Most tiers that the configuration can name.
 pub const TIERS: usize = 4;
 
-/// Position of an endpoint in the table; stable while the endpoint is in use.
+/// Index of an endpoint in the table; stable while the endpoint is listed or
+/// serves a request.
 pub type Slot = usize;
 
-/// Returns the index of a tier.
+/// Returns the index of a tier in per-tier arrays, the highest tier first.
 #[must_use]
 pub fn rank(tier: id::Tier) -> usize {
     usize::from(tier.0).min(TIERS - 1)
 }
 
-/// Whether an endpoint is trusted to answer.
+/// Whether an endpoint is known to answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
     /// It answers.
     Sound,
-    /// A probe since then has not come back.
+    /// A probe was sent at this time and has no result yet.
     Probing(time::Instant),
-    /// It did not answer a probe; the next one is due then.
+    /// It did not answer a probe; the next probe is due at this time.
     Dead(time::Instant),
 }
 
-/// One endpoint.
+/// One endpoint and what this node knows of it.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// What the host list says.
+    /// Its entry in the host list.
     pub record: Record,
     /// Hash of its name.
     pub key: u64,
-    /// Whether the host list names it.
+    /// Whether the current host list names it.
     pub listed: bool,
-    /// What it last said of its load.
+    /// Its last load report.
     pub load: Option<Load>,
     /// Tokens that this node has in flight there.
     pub own: u64,
-    /// The same by tier, the highest first.
+    /// Tokens that this node has in flight there by tier, the highest first.
     pub by_tier: [u64; TIERS],
-    /// Prompt tokens of this node that wait for their first token there.
+    /// Uncached prompt tokens of this node's requests there that have no first
+    /// token yet.
     pub pending: u64,
     /// Requests that this node has in flight there.
     pub requests: u32,
-    /// Tokens of the other nodes, by the last report.
+    /// Tokens that other nodes have in flight there, by its last load report.
     pub others: u64,
-    /// Tokens that it may hold.
+    /// Limit of the tokens that this node may have in flight there.
     pub window: Window,
-    /// Whether it is trusted to answer.
+    /// Whether it is known to answer.
     pub health: Health,
-    /// It gets nothing before this time.
+    /// Time before which it gets no new work.
     pub avoided_until: time::Instant,
-    /// The request that has it for itself.
+    /// The suspect request that it is reserved for.
     pub reserved: Option<id::Request>,
-    /// Fingerprints of requests whose connection broke, until a probe decides.
+    /// Fingerprints of the requests whose connection broke, until a probe tells
+    /// whether the endpoint is dead.
     pub broken: BTreeSet<id::Fingerprint>,
 }
 
@@ -102,20 +106,21 @@
             && self.has_loaded(model)
     }
 
-    /// Returns whether it leaves, by the host list or by its own word.
+    /// Returns whether the host list or its load report says that it is leaving.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         let said = self.load.as_ref().map(|load| load.standing);
         self.record.standing == Standing::Leaving || said == Some(Standing::Leaving)
     }
 
-    /// Returns whether new work may go there now.
+    /// Returns whether it is healthy and neither avoided nor reserved.
     #[must_use]
     pub fn is_open(&self, now: time::Instant) -> bool {
         self.health == Health::Sound && self.avoided_until <= now && self.reserved.is_none()
     }
 
-    /// Returns whether the model is loaded, as far as the endpoint says.
+    /// Returns whether the model is loaded; true if the endpoint doesn't report
+    /// its models.
     #[must_use]
     pub fn has_loaded(&self, model: Option<&id::Model>) -> bool {
         let (Some(model), Some(load)) = (model, &self.load) else {
@@ -124,21 +129,21 @@
         load.models.is_empty() || load.models.contains(model)
     }
 
-    /// Returns the tokens that this node holds there for this tier and those
-    /// above it.
+    /// Returns the tokens that this node has in flight there for this tier and
+    /// those above it.
     #[must_use]
     pub fn held(&self, tier: id::Tier) -> u64 {
         self.by_tier[..=rank(tier)].iter().sum()
     }
 
-    /// Returns the tokens that the last report gives.
+    /// Returns the tokens of its last load report, zero without one.
     #[must_use]
     pub fn reported(&self) -> u64 {
         self.load.as_ref().map_or(0, |load| load.tokens.0)
     }
 }
 
-/// All endpoints, by position, name and service.
+/// All endpoints, by slot, name and service.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     members: Vec<Option<Member>>,
@@ -148,9 +153,10 @@
 }
 
 impl Fleet {
-    /// Takes over a host list; `window` gives the window of a service.
+    /// Replaces the host list; `window` returns the configured window of a
+    /// service.
     ///
-    /// Returns the positions that became free.
+    /// Returns the slots that became free.
     pub fn replace(
         &mut self,
         records: Vec<Record>,
@@ -184,37 +190,37 @@
         freed
     }
 
-    /// Returns the endpoint at this position.
+    /// Returns the endpoint in this slot.
     #[must_use]
     pub fn get(&self, slot: Slot) -> Option<&Member> {
         self.members.get(slot)?.as_ref()
     }
 
-    /// Returns the endpoint at this position for a change.
+    /// Returns a mutable reference to the endpoint in this slot.
     pub fn get_mut(&mut self, slot: Slot) -> Option<&mut Member> {
         self.members.get_mut(slot)?.as_mut()
     }
 
-    /// Returns the position of a named endpoint.
+    /// Returns the slot of a named endpoint.
     #[must_use]
     pub fn find(&self, name: &id::Endpoint) -> Option<Slot> {
         self.names.get(name).copied()
     }
 
-    /// Returns the positions of a service's endpoints.
+    /// Returns the slots of a service's endpoints.
     #[must_use]
     pub fn of_service(&self, service: &id::Service) -> &[Slot] {
         self.services.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns all positions in use.
+    /// Returns all slots in use.
     #[must_use]
     pub fn slots(&self) -> Vec<Slot> {
         self.names.values().copied().collect()
     }
 
-    /// Frees the position of an endpoint that is neither listed nor in use;
-    /// false if it is.
+    /// Frees the slot of an endpoint that is neither listed nor serves a
+    /// request; returns whether it was freed.
     pub fn release(&mut self, slot: Slot) -> bool {
         let idle = |member: &Member| !member.listed && member.requests == 0;
         if !self.get(slot).is_some_and(idle) {
@@ -238,6 +244,7 @@
         self.names.insert(name, slot);
     }
 
+    /// Marks an endpoint as no longer listed; returns whether its slot was freed.
     fn retire(&mut self, slot: Slot) -> bool {
         if let Some(member) = self.get_mut(slot) {
             member.listed = false;
@@ -245,6 +252,7 @@
         self.release(slot)
     }
 
+    /// Rebuilds the index by service.
     fn index(&mut self) {
         self.services.clear();
         for &slot in self.names.values() {
--- a/lib/src/prefix.rs
+++ b/lib/src/prefix.rs
@@ -7,13 +7,14 @@
 /// Length of a block in bytes.
 pub const BLOCK_BYTES: usize = 256;
 
-/// Number of leading blocks that are hashed at the most.
+/// Most leading blocks that are hashed.
 pub const MAX_BLOCKS: usize = 128;
 
-/// Returns the hash of every leading run of whole blocks, shortest first.
+/// Returns the hash of every prefix of complete blocks, shortest first.
 ///
-/// The hash of a run is the XXH3-64 of its last block, seeded by the hash of
-/// the run before it; the first is seeded by the hash of the model's name.
+/// The hash of a prefix is the XXH3-64 of its last block, seeded by the hash of
+/// the prefix one block shorter; the first is seeded by the hash of the model's
+/// name.
 #[must_use]
 pub fn hashes(model: &str, prompt: &str) -> Vec<id::Prefix> {
     let mut seed = xxh3::xxh3_64(model.as_bytes());
--- a/lib/src/report.rs
+++ b/lib/src/report.rs
@@ -1,4 +1,4 @@
-//! What a core tells operators of its endpoints and services.
+//! State of endpoints and services, as shown to operators.
 
 use derive_more::Display;
 use serde::{Serialize, Serializer};
@@ -10,25 +10,25 @@
     size, text, time,
 };
 
-/// Why an endpoint gets new work or not.
+/// Whether an endpoint gets new work, and the reason if not.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum State {
     /// It gets new work.
     #[display("open")]
     Open,
-    /// It finishes what it has.
+    /// It finishes its requests and gets no new work.
     #[display("leaving")]
     Leaving,
-    /// It did not answer a probe.
+    /// It did not answer the last probe.
     #[display("dead")]
     Dead,
-    /// A probe on a new connection is under way.
+    /// A probe on a new connection has no result yet.
     #[display("probing")]
     Probing,
-    /// It refused a connection or a request a moment ago.
+    /// It refused a connection or a request moments ago.
     #[display("avoided")]
     Avoided,
-    /// A suspect request has it for itself.
+    /// It is reserved for a suspect request.
     #[display("reserved")]
     Reserved,
 }
@@ -48,13 +48,13 @@
     pub service: id::Service,
     /// Its data centre.
     pub data_centre: id::DataCentre,
-    /// Whether it gets new work, and if not, why.
+    /// Whether it gets new work, and the reason if not.
     pub state: State,
     /// Tokens that this node may have in flight there.
     pub window: size::Tokens,
-    /// Tokens that it has in flight there.
+    /// Tokens that this node has in flight there.
     pub in_flight: size::Tokens,
-    /// Requests that it has in flight there.
+    /// Requests that this node has in flight there.
     pub requests: u32,
 }
 
@@ -63,14 +63,14 @@
 pub struct Service {
     /// Its name.
     pub name: id::Service,
-    /// Endpoints that get new work.
+    /// Number of endpoints that get new work.
     pub open: usize,
-    /// Services that it depends on and that have no open endpoint.
+    /// Services that it depends on, also indirectly, without an open endpoint.
     pub missing: Vec<id::Service>,
 }
 
 impl Scheduler {
-    /// Returns every endpoint of the host list, by name.
+    /// Returns every endpoint of the host list, ordered by name.
     #[must_use]
     pub fn endpoints(&self, now: time::Instant) -> Vec<Endpoint> {
         let mut endpoints = Vec::new();
@@ -92,7 +92,7 @@
         endpoints
     }
 
-    /// Returns every service of the operators' text, by name.
+    /// Returns every service of the configuration, ordered by name.
     #[must_use]
     pub fn services(&self, now: time::Instant) -> Vec<Service> {
         let Some(text) = &self.text else {
--- a/lib/src/window.rs
+++ b/lib/src/window.rs
@@ -1,10 +1,11 @@
-//! Window of an endpoint: the tokens that this node may hold there.
+//! Window of an endpoint: the tokens that this node may have in flight there.
 //!
-//! Every node adapts its own window by what it sees, as congestion control
-//! does: additive increase while the window limits and streams run near the
-//! endpoint's best speed, multiplicative decrease when streams slow down or
-//! first tokens come late. All nodes see the same speed, so that their windows
-//! settle without a message between them.
+//! Every node adapts its own window to what it observes, as congestion control
+//! does. The window increases additively while it is what keeps requests waiting
+//! and streams run near the endpoint's best speed. It decreases
+//! multiplicatively when streams slow down or first tokens are late. All nodes
+//! observe the same speed, so their windows converge without messages between
+//! them.
 
 use std::time::Duration;
 
@@ -13,48 +14,51 @@
 /// Target for the time to the first token.
 pub const FIRST_TOKEN: Duration = Duration::from_millis(660);
 
-/// Shortest time between two adjustments.
+/// Shortest time between two adjustments of a window.
 const PERIOD: Duration = Duration::from_millis(500);
 
-/// Time after which a measured speed no longer keeps work away, so that an
-/// endpoint that has recovered is found out.
+/// Time after which a measured speed no longer counts when an endpoint is
+/// chosen, so that a slow endpoint gets work again and its recovery is noticed.
 const SPEED_TTL: Duration = Duration::from_secs(10);
 
-/// Part of the target that queueing inside the endpoint may take.
+/// Fraction of [`FIRST_TOKEN`] that queueing inside the endpoint may take.
 const QUEUEING: f64 = 0.5;
 
-/// Part of the best speed below which the window shrinks.
+/// Fraction of the best speed below which the window decreases.
 const SLOW: f64 = 0.7;
 
-/// Part of the best speed above which the window grows.
+/// Fraction of the best speed above which the window may increase.
 const FAST: f64 = 0.8;
 
-/// Factor of a decrease, and of the fastest one.
+/// Factors of the usual and of the steepest decrease.
 const DECREASE: (f64, f64) = (0.9, 0.5);
 
-/// Factor by which a window shrinks in a period in which it was hardly used.
+/// Factor by which a window decreases in a period that used little of it.
 const UNUSED: f64 = 0.95;
 
-/// Multiple of the node's share of the configured window down to which an
-/// unused window shrinks.
+/// Multiple of the node's share of the configured window below which a window
+/// doesn't decrease for little use.
 const MIN_UNUSED: f64 = 1.5;
 
-/// Multiple of the used tokens down to which an unused window shrinks.
+/// Multiple of the peak of tokens in flight below which a window doesn't
+/// decrease for little use.
 const HEADROOM: f64 = 2.0;
 
-/// Increase of a period, relative to the configured window.
+/// Increase per period, relative to the configured window.
 const INCREASE: f64 = 0.02;
 
-/// Bounds of the window relative to the configured one.
+/// Bounds of the window, relative to the configured one.
 const BOUNDS: (f64, f64) = (0.01, 8.0);
 
-/// Part of the best speed that is forgotten with each sample.
+/// Fraction by which the best speed falls and the best time per prompt token
+/// rises with each sample, so that old extremes are forgotten.
 const FORGET: f64 = 0.0001;
 
-/// Prompt tokens below which the time to first token is not set in relation.
+/// Fewest prompt tokens that the time to the first token is related to; a
+/// shorter prompt counts as this many.
 const MIN_PROMPT: f64 = 64.0;
 
-/// Tokens that an endpoint may hold, adapted to what it delivers.
+/// A limit on the tokens in flight at an endpoint, adapted to its speed.
 #[derive(Clone, Copy, Debug)]
 pub struct Window {
     configured: f64,
@@ -71,7 +75,7 @@
 }
 
 impl Window {
-    /// Starts with the configured window.
+    /// Creates a window of the configured size.
     #[must_use]
     pub fn new(configured: u64) -> Self {
         #[expect(clippy::cast_precision_loss, reason = "windows are small")]
@@ -91,7 +95,7 @@
         }
     }
 
-    /// Returns the tokens that this node may hold at the endpoint.
+    /// Returns the tokens that this node may have in flight at the endpoint.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
@@ -102,7 +106,7 @@
         self.limit.max(1.0) as u64
     }
 
-    /// Returns the tokens that the operators' text gives the endpoint.
+    /// Returns the tokens that the configuration gives the endpoint.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
@@ -120,7 +124,7 @@
         self.speed.get().filter(|_| recent)
     }
 
-    /// Takes over a changed configuration.
+    /// Starts again from the configured size if that has changed.
     pub fn configure(&mut self, configured: u64) {
         let fresh = Self::new(configured);
         if (fresh.configured - self.configured).abs() > 0.5 {
@@ -128,8 +132,8 @@
         }
     }
 
-    /// Divides the configured window between the nodes; the window starts from
-    /// there if nothing is known of the endpoint yet.
+    /// Sets the node's equal share of the configured window, which is also the
+    /// limit until the first adjustment.
     pub fn share(&mut self, nodes: u64) {
         #[expect(clippy::cast_precision_loss, reason = "nodes are few")]
         let nodes = nodes.max(1) as f64;
@@ -139,19 +143,19 @@
         }
     }
 
-    /// Learns the tokens that this node holds at the endpoint.
+    /// Records the tokens that this node has in flight at the endpoint.
     pub fn hold(&mut self, tokens: u64) {
         #[expect(clippy::cast_precision_loss, reason = "windows are small")]
         let tokens = tokens as f64;
         self.peak = self.peak.max(tokens);
     }
 
-    /// Learns that work waited because the window was full.
+    /// Records that a request had to wait because the window was full.
     pub fn limited(&mut self) {
         self.limited = true;
     }
 
-    /// Learns the time to the first token for this many uncached tokens.
+    /// Records the time to the first token for this many uncached prompt tokens.
     pub fn first_token(&mut self, now: time::Instant, took: Duration, uncached: u64) {
         #[expect(clippy::cast_precision_loss, reason = "a ratio")]
         let uncached = (uncached as f64).max(MIN_PROMPT);
@@ -165,7 +169,7 @@
         self.adjust(now);
     }
 
-    /// Learns the tokens per second of one stream.
+    /// Records the tokens per second of one stream.
     pub fn stream(&mut self, now: time::Instant, rate: f64) {
         self.measured = now;
         self.speed.record(rate);
@@ -174,13 +178,14 @@
         self.adjust(now);
     }
 
-    /// Learns that requests queue inside the endpoint.
+    /// Records that requests queue inside the endpoint.
     pub fn queueing(&mut self, now: time::Instant) {
         self.late = true;
         self.adjust(now);
     }
 
-    /// Returns the time that this many prompt tokens take at the best.
+    /// Returns the time that the endpoint needs for this many prompt tokens
+    /// without queueing; zero if unknown.
     #[must_use]
     pub fn prefill(&self, tokens: u64) -> Duration {
         #[expect(clippy::cast_precision_loss, reason = "an estimate")]
@@ -188,12 +193,12 @@
         Duration::from_secs_f64(seconds.clamp(0.0, 3600.0))
     }
 
-    /// Shrinks the window.
+    /// Decreases the window by the usual factor.
     pub fn decrease(&mut self) {
         self.set(self.limit * DECREASE.0);
     }
 
-    /// Adjusts the window once a period.
+    /// Adjusts the window at most once a period.
     fn adjust(&mut self, now: time::Instant) {
         if now.since(self.adjusted) < PERIOD {
             return;
--- a/lib/tests/test_affinity.rs
+++ b/lib/tests/test_affinity.rs
@@ -1,4 +1,4 @@
-//! The prefix index against a plain map of sets.
+//! Compares the prefix index with a set of prefixes per endpoint.
 
 mod property;
 
--- a/lib/tests/test_report.rs
+++ b/lib/tests/test_report.rs
@@ -1,4 +1,4 @@
-//! What a core tells operators of its endpoints and services.
+//! State of endpoints and services, as shown to operators.
 
 mod support;
 
@@ -53,7 +53,7 @@
     let mut core = core(Policy::TwoChoices, 1000, 1);
     let mut depending = Arc::unwrap_or_clone(text(1000));
     let service = depending.services.get_mut(&id::Service::from("llm"));
-    let service = service.expect("the text has it");
+    let service = service.expect("the configuration has the service");
     service.depends_on.insert("app".into());
     core.handle(at(0), Event::Configured(Arc::new(depending)));
     let services = core.services(at(1));
--- a/lib/tests/test_straggler.rs
+++ b/lib/tests/test_straggler.rs
@@ -1,4 +1,5 @@
-//! An endpoint that slows down loses window, not everything, and recovers.
+//! An endpoint that slows down gets a smaller window, but still some work, so that
+//! its recovery is noticed.
 
 mod support;
 
@@ -12,8 +13,9 @@
 };
 use support::{admitted, arrive, at, core, profile};
 
-/// Lets every endpoint serve one request at a time, `e0` at the given speed
-/// and the others at 50 tokens a second, and counts the admissions of `e0`.
+/// Sends four requests every 500 ms, which `e0` serves at the given speed and
+/// the other endpoints at 50 tokens per second, and counts the admissions to
+/// `e0`.
 fn serve(core: &mut Scheduler, from: u64, millis: u64, speed: u64) -> u64 {
     let mut admissions = 0;
     let mut running: Vec<(u64, bool)> = Vec::new();
@@ -57,10 +59,16 @@
     let slow = serve(&mut core, 70_000, 10_000, 4);
     serve(&mut core, 90_000, 60_000, 50);
     let again = serve(&mut core, 160_000, 10_000, 50);
-    assert!(slow > 0, "some work shows when it recovers");
+    assert!(
+        slow > 0,
+        "a slow endpoint gets some work, so that its recovery is noticed"
+    );
     assert!(
         slow * 4 <= sound * 3,
-        "{sound} when sound, {slow} when slow"
+        "{sound} admissions at full speed, {slow} when slow"
+    );
+    assert!(
+        again * 4 >= sound * 3,
+        "{sound} admissions before the slowdown, {again} after"
     );
-    assert!(again * 4 >= sound * 3, "{sound} before, {again} after");
 }
