--- a/lib/src/fair.rs
+++ b/lib/src/fair.rs
@@ -1,18 +1,19 @@
-//! Weighted fair queueing between workspaces, by tokens.
+//! Weighted fair queueing between workspaces, measured in tokens.
 //!
-//! Start-time fair queueing: every workspace has a virtual start time that
-//! advances by the tokens it is served, divided by its share. The workspace
-//! with the earliest start time is served next; within a workspace the
-//! earliest deadline goes first. Every operation is logarithmic.
+//! This is start-time fair queueing: the virtual start time of a workspace
+//! advances by the tokens of each request served, divided by the workspace's
+//! share. The workspace with the earliest start time is served next; within a
+//! workspace the earliest deadline goes first. Every operation takes logarithmic
+//! time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{id, time};
 
-/// Virtual time per token at a share of one.
+/// Virtual time that one token takes at a share of one.
 const SCALE: u64 = 1 << 20;
 
-/// What the queue needs to know of a waiting request.
+/// The properties of a waiting request that decide its order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Item {
     /// The request.
@@ -21,13 +22,13 @@
     pub workspace: id::Workspace,
     /// The workspace's share.
     pub share: u32,
-    /// When its answer is of no more use.
+    /// Deadline by which it is ordered within its workspace.
     pub deadline: time::Instant,
     /// Its cost in tokens.
     pub cost: u64,
 }
 
-/// Waiting requests of one workspace.
+/// The backlog and virtual start time of one workspace.
 #[derive(Clone, Debug, Default)]
 struct Flow {
     share: u64,
@@ -37,13 +38,13 @@
 }
 
 impl Flow {
-    /// Returns the backlog relative to the share.
+    /// Returns the waiting tokens, relative to the share.
     fn pressure(&self) -> u64 {
         self.tokens.saturating_mul(SCALE) / self.share.max(1)
     }
 }
 
-/// A queue that is fair between workspaces.
+/// A queue that serves workspaces in proportion to their shares.
 #[derive(Clone, Debug, Default)]
 pub struct Fair {
     now: u64,
@@ -63,13 +64,13 @@
         self.len
     }
 
-    /// Returns whether nothing waits.
+    /// Returns whether no request waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Returns the waiting tokens.
+    /// Returns the cost of all waiting requests in tokens.
     #[must_use]
     pub fn tokens(&self) -> u64 {
         self.tokens
@@ -97,7 +98,7 @@
         flow.items.first_key_value().map(|(&(_, id), _)| id)
     }
 
-    /// Takes the request to be served next and charges its workspace.
+    /// Removes the request to be served next and charges its workspace.
     pub fn pop(&mut self) -> Option<id::Request> {
         let (start, workspace) = self.waiting.first()?.clone();
         let mut flow = self.detach(&workspace);
@@ -128,8 +129,8 @@
         removed.is_some()
     }
 
-    /// Returns the request to be given up first: the latest deadline of the
-    /// workspace with the largest backlog for its share.
+    /// Returns the request to evict first: the one with the latest deadline in
+    /// the workspace with the largest backlog relative to its share.
     #[must_use]
     pub fn victim(&self) -> Option<id::Request> {
         let (_, workspace) = self.pressures.last()?;
@@ -137,8 +138,8 @@
         flow.items.last_key_value().map(|(&(_, id), _)| id)
     }
 
-    /// Returns the tokens that are served before a new request of this
-    /// workspace, at the most.
+    /// Returns an upper bound of the tokens that are served before a new request
+    /// of this workspace.
     #[must_use]
     pub fn ahead(&self, workspace: &id::Workspace, share: u32) -> u64 {
         let share = u64::from(share.max(1));
@@ -150,13 +151,13 @@
         u64::try_from(fair).unwrap_or(u64::MAX).min(self.tokens)
     }
 
-    /// Returns the number of workspaces that are remembered.
+    /// Returns the number of workspaces for which a virtual start time is kept.
     #[must_use]
     pub fn workspaces(&self) -> usize {
         self.flows.len()
     }
 
-    /// Takes a workspace out of the indexes.
+    /// Removes a workspace from the indexes, so that it can be changed.
     fn detach(&mut self, workspace: &id::Workspace) -> Flow {
         let Some(flow) = self.flows.remove(workspace) else {
             return Flow::default();
@@ -172,7 +173,7 @@
         flow
     }
 
-    /// Puts a workspace back into the indexes.
+    /// Inserts a workspace into the indexes.
     fn attach(&mut self, workspace: id::Workspace, flow: Flow) {
         if flow.items.is_empty() {
             self.idle.insert((flow.start, workspace.clone()));
@@ -184,7 +185,8 @@
         self.flows.insert(workspace, flow);
     }
 
-    /// Forgets idle workspaces whose start time has passed.
+    /// Drops idle workspaces whose start time has passed: one that returns
+    /// starts at the current virtual time anyway.
     fn forget(&mut self) {
         if self.is_empty() {
             *self = Self::default();
--- a/lib/src/queue.rs
+++ b/lib/src/queue.rs
@@ -1,4 +1,5 @@
-//! Waiting requests of one service and model: tier, workspace, deadline.
+//! Waiting requests of one service and model, ordered by tier, then fairly
+//! between workspaces, then by deadline.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,7 +8,7 @@
     id, time,
 };
 
-/// Requests that wait, highest tier first, fair between workspaces.
+/// A priority queue by tier that is fair between the workspaces of each tier.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
     tiers: BTreeMap<id::Tier, Fair>,
@@ -22,7 +23,7 @@
         self.items.len()
     }
 
-    /// Returns whether nothing waits.
+    /// Returns whether no request waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
@@ -37,7 +38,7 @@
         self.tiers.entry(tier).or_default().push(&item);
         self.deadlines.insert((item.deadline, item.id));
         let previous = self.items.insert(item.id, (tier, item));
-        assert!(previous.is_none(), "a request waits once");
+        assert!(previous.is_none(), "the request is already in the queue");
     }
 
     /// Returns the request to be served next and its tier.
@@ -47,7 +48,7 @@
         fair.peek().map(|request| (tier, request))
     }
 
-    /// Takes the request to be served next.
+    /// Removes the request to be served next.
     pub fn pop(&mut self) -> Option<(id::Tier, Item)> {
         let (&tier, fair) = self.tiers.iter_mut().next()?;
         let request = fair.pop()?;
@@ -55,7 +56,7 @@
         self.unlink(request)
     }
 
-    /// Removes a request wherever it waits.
+    /// Removes a request without serving it.
     pub fn remove(&mut self, request: id::Request) -> Option<(id::Tier, Item)> {
         let (tier, item) = self.unlink(request)?;
         if let Some(fair) = self.tiers.get_mut(&tier) {
@@ -65,7 +66,7 @@
         Some((tier, item))
     }
 
-    /// Returns the request to be given up first, of the lowest tier.
+    /// Returns the request to evict first, which is of the lowest waiting tier.
     #[must_use]
     pub fn victim(&self) -> Option<(id::Tier, id::Request)> {
         let (&tier, fair) = self.tiers.last_key_value()?;
@@ -77,7 +78,7 @@
         self.deadlines.iter().copied()
     }
 
-    /// Returns the tokens that are served before a new request, at the most.
+    /// Returns an upper bound of the tokens that are served before a new request.
     #[must_use]
     pub fn ahead(&self, tier: id::Tier, workspace: &id::Workspace, share: u32) -> u64 {
         let mut tokens = 0;
@@ -100,12 +101,14 @@
         self.items.keys().copied().collect()
     }
 
+    /// Removes a request from the indexes by identifier and deadline.
     fn unlink(&mut self, request: id::Request) -> Option<(id::Tier, Item)> {
         let (tier, item) = self.items.remove(&request)?;
         self.deadlines.remove(&(item.deadline, request));
         Some((tier, item))
     }
 
+    /// Drops the queue of a tier without waiting requests.
     fn trim(&mut self, tier: id::Tier) {
         if self.tiers.get(&tier).is_some_and(Fair::is_empty) {
             self.tiers.remove(&tier);
--- a/lib/tests/test_fair.rs
+++ b/lib/tests/test_fair.rs
@@ -1,4 +1,4 @@
-//! The fair queue against a version that scans a list.
+//! Compares the fair queue with a version that scans a list.
 
 mod property;
 
@@ -13,7 +13,7 @@
 
 const SCALE: u64 = 1 << 20;
 
-/// Start-time fair queueing, by scanning everything.
+/// Start-time fair queueing that scans all items for each operation.
 #[derive(Default)]
 struct Naive {
     now: u64,
@@ -175,7 +175,7 @@
     while fair.len() > 1 {
         fair.pop();
     }
-    assert_eq!(fair.workspaces(), 33_000, "all start in the same round");
+    assert_eq!(fair.workspaces(), 33_000, "all have the same start time");
     fair.pop();
     assert_eq!(fair.workspaces(), 0);
 }
--- a/lib/tests/test_queue.rs
+++ b/lib/tests/test_queue.rs
@@ -1,4 +1,4 @@
-//! The tiered queue against a sorted list.
+//! Compares the tiered queue with a sorted list.
 
 mod property;
 
