--- a/lib/src/event.rs
+++ b/lib/src/event.rs
@@ -1,15 +1,15 @@
-//! What the decision core is told.
+//! Input of the decision core.
 
 use std::{sync::Arc, time::Duration};
 
 use crate::{endpoint, id, request, size, text};
 
-/// One thing that happened.
+/// An input of the decision core.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An operators' text is in force.
+    /// This configuration is in force.
     Configured(Arc<text::Text>),
-    /// The host list was read; replaces what was known.
+    /// The host list was read; it replaces the previous one.
     Listed(Vec<endpoint::Record>),
     /// An endpoint reported its load.
     Reported(id::Endpoint, endpoint::Load),
@@ -17,44 +17,46 @@
     Cached(id::Endpoint, endpoint::Cache),
     /// A request asks for an endpoint.
     Arrived(id::Request, Arc<request::Profile>),
-    /// A request that waits is not wanted any more.
+    /// The caller of a waiting request gave it up.
     Withdrawn(id::Request),
-    /// An admitted request was not handed over; it waits again and the
-    /// endpoint is avoided for it.
+    /// An admitted request was not sent; it waits again and doesn't go to the
+    /// same endpoint.
     Unsent(id::Request),
     /// An endpoint sent the first byte of the answer.
     Started(id::Request),
     /// An endpoint sent this many more tokens.
     Progressed(id::Request, size::Tokens),
-    /// An admitted request has ended.
+    /// An admitted request ended.
     Ended(id::Request, Outcome),
     /// An endpoint answered a probe on a new connection, or did not.
     Probed(id::Endpoint, bool),
-    /// A peer's fingerprints of crashing requests, with the time they hold on.
+    /// A peer's marks of requests that may crash endpoints, with the time for
+    /// which each still holds.
     Suspected(Vec<(id::Fingerprint, Duration)>),
-    /// A message of the admission protocol came from a peer.
+    /// A peer sent a message of the admission protocol.
     Peer(id::Node, Message),
     /// The live nodes, this one included, with their data centres.
     Members(Vec<(id::Node, id::DataCentre)>),
-    /// The node is shutting down; nothing new is admitted to wait.
+    /// The node is shutting down; a new request that can't be admitted at once
+    /// is refused.
     Draining,
-    /// Time went on.
+    /// Time passed; sent at regular intervals.
     Tick,
 }
 
 /// How an admitted request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer came; prompt tokens that the cache spared, if told.
+    /// The complete answer was received.
     Answered {
-        /// Prompt tokens found in the endpoint's cache.
+        /// Prompt tokens found in the endpoint's cache, zero if not reported.
         cached: size::Tokens,
         /// Tokens generated.
         output: size::Tokens,
     },
-    /// The caller left first.
+    /// The caller gave up before the answer was complete.
     Cancelled,
-    /// The endpoint refused it without running it.
+    /// The endpoint rejected it without running it.
     Rejected,
     /// The connection to the endpoint broke.
     Broken,
@@ -62,14 +64,15 @@
     Stalled,
 }
 
-/// A message between the cores of two nodes.
+/// A message of the admission protocol between two nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// Waiting work by tier, sent to the home node of a service's endpoints.
+    /// Waiting work by service and tier, sent to the home node of a service's
+    /// endpoints.
     Demand(Vec<Demand>),
-    /// Slots granted on an endpoint.
+    /// Grants of tokens on endpoints.
     Granted(Vec<Grant>),
-    /// Slots given back unused.
+    /// Grants given back unused.
     Returned(Vec<Grant>),
 }
 
@@ -80,13 +83,13 @@
     pub service: id::Service,
     /// The tier.
     pub tier: id::Tier,
-    /// Tokens that wait.
+    /// Tokens of the waiting requests.
     pub tokens: size::Tokens,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub requests: u32,
 }
 
-/// The right to put tokens on an endpoint for a while.
+/// The right to have tokens in flight on an endpoint for a limited time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
     /// The endpoint.
@@ -95,6 +98,6 @@
     pub tier: id::Tier,
     /// Tokens granted.
     pub tokens: size::Tokens,
-    /// How long the grant holds from its receipt.
+    /// Time for which the grant is valid after it was received.
     pub valid: Duration,
 }
--- a/lib/src/request.rs
+++ b/lib/src/request.rs
@@ -1,17 +1,18 @@
-//! The life of a request as a typestate.
+//! The states of a request, encoded as types.
 //!
-//! `Received → Claimed → Admitted → Dispatched`. Each step consumes the value
-//! before it, so that a second dispatch does not compile, and a refusal that
-//! says "not run" can be built only from a state before [`Dispatched`].
+//! The states are `Received → Claimed → Admitted → Dispatched`. Each transition
+//! consumes the previous value, so that a second dispatch does not compile, and
+//! a refusal that says "not run" can only be built from a state before
+//! [`Dispatched`].
 
 use std::{sync::Arc, time::Duration};
 
 use crate::{id, size, time};
 
-/// What the decision core needs to know of a request.
+/// The properties of a request that the decision core uses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Profile {
-    /// The call of the operators' text that it matched.
+    /// The configured call that it matched.
     pub call: id::Call,
     /// The service that must serve it.
     pub service: id::Service,
@@ -21,24 +22,24 @@
     pub workspace: id::Workspace,
     /// Its tier.
     pub tier: id::Tier,
-    /// When it came in.
+    /// When it was received.
     pub received: time::Instant,
-    /// When its answer is of no more use.
+    /// Time after which its answer is useless.
     pub deadline: time::Instant,
-    /// Tokens of its prompt, estimated.
+    /// Estimated tokens of its prompt.
     pub prompt: size::Tokens,
-    /// Tokens of its answer, at the most.
+    /// Most tokens of its answer.
     pub output: size::Tokens,
     /// Hashes of its prompt's leading blocks, shortest prefix first.
     pub prefixes: Vec<id::Prefix>,
-    /// Hash of its content.
+    /// Hash of its content, which identifies repeats of it.
     pub fingerprint: id::Fingerprint,
-    /// Whether running it twice does no harm.
+    /// Whether it can be run twice safely.
     pub idempotent: bool,
 }
 
 impl Profile {
-    /// Returns the tokens that the request can occupy in an engine.
+    /// Returns the most tokens that the request can occupy in a model engine.
     #[must_use]
     pub fn cost(&self) -> size::Tokens {
         self.prompt + self.output
@@ -51,35 +52,35 @@
     }
 }
 
-/// The request was read and classified.
+/// The request was received and classified.
 #[derive(Debug)]
 pub struct Received;
 
-/// The right to run the request is held, or it needs none.
+/// This node holds the claim to run the request, or the request needs none.
 #[derive(Debug)]
 pub struct Claimed;
 
-/// An endpoint has been assigned.
+/// An endpoint was assigned.
 #[derive(Debug)]
 pub struct Admitted {
     endpoint: id::Endpoint,
 }
 
-/// Bytes may have been handed to the endpoint.
+/// Bytes may have been sent to the endpoint.
 #[derive(Debug)]
 pub struct Dispatched {
     endpoint: id::Endpoint,
 }
 
 mod sealed {
-    /// States before anything was handed to an endpoint.
+    /// States in which nothing was sent to an endpoint.
     pub trait Undispatched {}
     impl Undispatched for super::Received {}
     impl Undispatched for super::Claimed {}
     impl Undispatched for super::Admitted {}
 }
 
-/// A request in one state of its life.
+/// A request in the state `S`.
 #[derive(Debug)]
 pub struct Request<S> {
     id: id::Request,
@@ -88,18 +89,19 @@
 }
 
 impl<S> Request<S> {
-    /// Returns the attempt's identifier.
+    /// Returns the identifier of this attempt.
     #[must_use]
     pub fn id(&self) -> id::Request {
         self.id
     }
 
-    /// Returns what the decision core knows of the request.
+    /// Returns the properties that the decision core uses.
     #[must_use]
     pub fn profile(&self) -> &Arc<Profile> {
         &self.profile
     }
 
+    /// Changes the state.
     fn step<T>(self, state: T) -> Request<T> {
         Request {
             id: self.id,
@@ -110,7 +112,7 @@
 }
 
 impl<S: sealed::Undispatched> Request<S> {
-    /// Ends the request with the proof that it was not dispatched.
+    /// Gives the request up and returns the proof that it was not dispatched.
     #[must_use]
     pub fn abandon(self) -> NotRun {
         NotRun { request: self.id }
@@ -118,7 +120,7 @@
 }
 
 impl Request<Received> {
-    /// Starts a request's life.
+    /// Creates a request that was received and classified.
     #[must_use]
     pub fn new(id: id::Request, profile: Arc<Profile>) -> Self {
         Self {
@@ -128,7 +130,8 @@
         }
     }
 
-    /// Records that the right to run the request is held.
+    /// Records that this node holds the claim to run the request, or that the
+    /// request needs none.
     #[must_use]
     pub fn claim(self) -> Request<Claimed> {
         self.step(Claimed)
@@ -136,7 +139,7 @@
 }
 
 impl Request<Claimed> {
-    /// Records the endpoint that was assigned.
+    /// Records the endpoint that the request is assigned to.
     #[must_use]
     pub fn admit(self, endpoint: id::Endpoint) -> Request<Admitted> {
         self.step(Admitted { endpoint })
@@ -150,13 +153,14 @@
         &self.state.endpoint
     }
 
-    /// Returns to the queue after a failure that handed over nothing.
+    /// Takes back the assignment after a failure that sent nothing, so that the
+    /// request can be queued again.
     #[must_use]
     pub fn requeue(self) -> Request<Claimed> {
         self.step(Claimed)
     }
 
-    /// Records that bytes may be handed over from here on.
+    /// Records that bytes may be sent to the endpoint from here on.
     #[must_use]
     pub fn dispatch(self) -> Request<Dispatched> {
         let endpoint = self.state.endpoint.clone();
@@ -165,28 +169,28 @@
 }
 
 impl Request<Dispatched> {
-    /// Returns the endpoint that got the request.
+    /// Returns the endpoint that the request was sent to.
     #[must_use]
     pub fn endpoint(&self) -> &id::Endpoint {
         &self.state.endpoint
     }
 
-    /// Takes the dispatch back because the client library returned the whole
-    /// message, which proves that nothing was handed over.
+    /// Takes the dispatch back because the client library returned the complete
+    /// message, which proves that nothing was sent.
     #[must_use]
     pub fn undo<M>(self, _unsent: &M) -> Request<Claimed> {
         self.step(Claimed)
     }
 }
 
-/// Proof that a request was given up before anything was handed over.
+/// Proof that a request was given up before anything was sent to an endpoint.
 #[derive(Debug)]
 pub struct NotRun {
     request: id::Request,
 }
 
 impl NotRun {
-    /// Returns the attempt that was given up.
+    /// Returns the identifier of the attempt that was given up.
     #[must_use]
     pub fn request(&self) -> id::Request {
         self.request
