--- a/lib/src/tree.rs
+++ b/lib/src/tree.rs
@@ -1,4 +1,4 @@
-//! A YAML document with the line of every node.
+//! A YAML document with the line number of every value.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -10,10 +10,10 @@
 
 use crate::fault;
 
-/// A value and the line where it stands.
+/// A value and the line on which it starts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
-    /// Line, from one.
+    /// Line number, starting at one.
     pub line: u64,
     /// The value.
     pub item: Item,
@@ -22,15 +22,15 @@
 /// A value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Item {
-    /// Nothing.
+    /// Null.
     Null,
-    /// A truth value.
+    /// A boolean.
     Flag(bool),
-    /// A whole number.
+    /// An integer.
     Integer(i64),
     /// Any other number.
     Float(f64),
-    /// Text.
+    /// A string.
     Text(String),
     /// A list.
     List(Vec<Node>),
@@ -53,11 +53,11 @@
 }
 
 impl Node {
-    /// Reads a document.
+    /// Parses a document.
     ///
     /// # Errors
     ///
-    /// Fails if it is not YAML.
+    /// Fails if it is not valid YAML.
     pub fn parse(document: &str) -> Result<Self, fault::List> {
         let parsed: Result<Spanned<Item>, _> = serde_saphyr::from_str(document);
         match parsed {
@@ -67,16 +67,14 @@
                 Err(fault::List(vec![fault::Fault {
                     line,
                     path: "document".to_owned(),
-                    message: format!(
-                        "not readable as YAML; mend the syntax: {}",
-                        first_line(&error)
-                    ),
+                    message: format!("invalid YAML, correct the syntax: {}", first_line(&error)),
                 }]))
             }
         }
     }
 
-    /// Returns every leaf by its path, such as `calls.pay.tier`.
+    /// Returns every leaf value by its path, such as `calls.pay.tier`; a list is
+    /// one leaf.
     #[must_use]
     pub fn leaves(&self) -> BTreeMap<String, String> {
         let mut leaves = BTreeMap::new();
@@ -111,7 +109,8 @@
     format!("{path}.{name}")
 }
 
-/// Returns the first line of an error's message, without its snippet.
+/// Returns the first line of an error's message; the lines after it show the
+/// document.
 fn first_line(error: &serde_saphyr::Error) -> String {
     let message = error.to_string();
     message.lines().next().unwrap_or_default().to_owned()
