--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -185,7 +185,7 @@
         let cost = waiting.cost;
         member.own += cost;
         member.by_tier[fleet::rank(waiting.profile.tier)] += cost;
-        member.window.hold(member.own);
+        member.window.record_in_flight(member.own);
         member.pending += uncached;
         member.requests += 1;
         self.prefixes.hint(slot, &waiting.profile.prefixes);
--- a/lib/src/health.rs
+++ b/lib/src/health.rs
@@ -68,7 +68,7 @@
         let nodes = u64::try_from(self.members.len()).unwrap_or(u64::MAX);
         for slot in self.fleet.slots() {
             if let Some(member) = self.fleet.get_mut(slot) {
-                member.window.share(nodes);
+                member.window.set_nodes(nodes);
             }
         }
     }
@@ -83,7 +83,7 @@
         };
         member.others = load.tokens.0.saturating_sub(member.own);
         if load.waiting > 0 {
-            member.window.queueing(now);
+            member.window.record_queueing(now);
         }
         member.load = Some(load);
         let service = member.record.service.clone();
@@ -139,7 +139,7 @@
         flight.measured = now;
         flight.received = 0;
         if let Some(member) = self.fleet.get_mut(flight.slot) {
-            member.window.stream(now, rate);
+            member.window.record_speed(now, rate);
         }
     }
 
@@ -208,7 +208,7 @@
             };
             let expected = member.window.prefill(flight.uncached);
             if now.since(flight.admitted) > expected + FIRST_TOKEN {
-                member.window.queueing(now);
+                member.window.record_queueing(now);
             }
         }
     }
@@ -245,7 +245,7 @@
         let prompt = flight.waiting.profile.prompt;
         if let Some(member) = self.fleet.get_mut(flight.slot) {
             let uncached = prompt.saturating_sub(cached);
-            member.window.first_token(now, took, uncached.0);
+            member.window.record_first_token(now, took, uncached.0);
         }
     }
 
--- a/lib/src/window.rs
+++ b/lib/src/window.rs
@@ -15,63 +15,63 @@
 pub const FIRST_TOKEN: Duration = Duration::from_millis(660);
 
 /// Shortest time between two adjustments of a window.
-const PERIOD: Duration = Duration::from_millis(500);
+const ADJUST_PERIOD: Duration = Duration::from_millis(500);
 
 /// Time after which a measured speed no longer counts when an endpoint is
 /// chosen, so that a slow endpoint gets work again and its recovery is noticed.
 const SPEED_TTL: Duration = Duration::from_secs(10);
 
 /// Fraction of [`FIRST_TOKEN`] that queueing inside the endpoint may take.
-const QUEUEING: f64 = 0.5;
+const MAX_QUEUEING_FRACTION: f64 = 0.5;
 
 /// Fraction of the best speed below which the window decreases.
-const SLOW: f64 = 0.7;
+const SLOW_SPEED_FRACTION: f64 = 0.7;
 
 /// Fraction of the best speed above which the window may increase.
-const FAST: f64 = 0.8;
+const FAST_SPEED_FRACTION: f64 = 0.8;
 
 /// Factors of the usual and of the steepest decrease.
-const DECREASE: (f64, f64) = (0.9, 0.5);
+const DECREASE_FACTORS: (f64, f64) = (0.9, 0.5);
 
 /// Factor by which a window decreases in a period that used little of it.
-const UNUSED: f64 = 0.95;
+const UNUSED_DECREASE_FACTOR: f64 = 0.95;
 
 /// Multiple of the node's share of the configured window below which a window
 /// doesn't decrease for little use.
-const MIN_UNUSED: f64 = 1.5;
+const MIN_UNUSED_SHARE_FACTOR: f64 = 1.5;
 
 /// Multiple of the peak of tokens in flight below which a window doesn't
 /// decrease for little use.
-const HEADROOM: f64 = 2.0;
+const UNUSED_HEADROOM_FACTOR: f64 = 2.0;
 
 /// Increase per period, relative to the configured window.
-const INCREASE: f64 = 0.02;
+const INCREASE_FRACTION: f64 = 0.02;
 
 /// Bounds of the window, relative to the configured one.
-const BOUNDS: (f64, f64) = (0.01, 8.0);
+const LIMIT_BOUNDS: (f64, f64) = (0.01, 8.0);
 
 /// Fraction by which the best speed falls and the best time per prompt token
 /// rises with each sample, so that old extremes are forgotten.
-const FORGET: f64 = 0.0001;
+const BEST_DECAY: f64 = 0.0001;
 
 /// Fewest prompt tokens that the time to the first token is related to; a
 /// shorter prompt counts as this many.
-const MIN_PROMPT: f64 = 64.0;
+const MIN_PROMPT_TOKENS: f64 = 64.0;
 
 /// A limit on the tokens in flight at an endpoint, adapted to its speed.
 #[derive(Clone, Copy, Debug)]
 pub struct Window {
     configured: f64,
     limit: f64,
-    share: f64,
+    node_share: f64,
     speed: Average,
-    best: f64,
-    per_token: Option<f64>,
-    measured: time::Instant,
-    late: bool,
+    best_speed: f64,
+    best_secs_per_token: Option<f64>,
+    speed_measured: time::Instant,
+    congested: bool,
     limited: bool,
-    peak: f64,
-    adjusted: time::Instant,
+    peak_tokens: f64,
+    last_adjusted: time::Instant,
 }
 
 impl Window {
@@ -83,15 +83,15 @@
         Self {
             configured,
             limit: configured,
-            share: configured,
+            node_share: configured,
             speed: Average::default(),
-            best: 0.0,
-            per_token: None,
-            measured: time::Instant::default(),
-            late: false,
+            best_speed: 0.0,
+            best_secs_per_token: None,
+            speed_measured: time::Instant::default(),
+            congested: false,
             limited: false,
-            peak: 0.0,
-            adjusted: time::Instant::default(),
+            peak_tokens: 0.0,
+            last_adjusted: time::Instant::default(),
         }
     }
 
@@ -120,7 +120,7 @@
     /// Returns the tokens per second of one stream, if known and recent.
     #[must_use]
     pub fn speed(&self, now: time::Instant) -> Option<f64> {
-        let recent = now.since(self.measured) < SPEED_TTL;
+        let recent = now.since(self.speed_measured) < SPEED_TTL;
         self.speed.get().filter(|_| recent)
     }
 
@@ -134,20 +134,20 @@
 
     /// Sets the node's equal share of the configured window, which is also the
     /// limit until the first adjustment.
-    pub fn share(&mut self, nodes: u64) {
+    pub fn set_nodes(&mut self, nodes: u64) {
         #[expect(clippy::cast_precision_loss, reason = "nodes are few")]
         let nodes = nodes.max(1) as f64;
-        self.share = self.configured / nodes;
-        if self.adjusted == time::Instant::default() {
-            self.set(self.share);
+        self.node_share = self.configured / nodes;
+        if self.last_adjusted == time::Instant::default() {
+            self.set_limit(self.node_share);
         }
     }
 
     /// Records the tokens that this node has in flight at the endpoint.
-    pub fn hold(&mut self, tokens: u64) {
+    pub fn record_in_flight(&mut self, tokens: u64) {
         #[expect(clippy::cast_precision_loss, reason = "windows are small")]
         let tokens = tokens as f64;
-        self.peak = self.peak.max(tokens);
+        self.peak_tokens = self.peak_tokens.max(tokens);
     }
 
     /// Records that a request had to wait because the window was full.
@@ -156,31 +156,31 @@
     }
 
     /// Records the time to the first token for this many uncached prompt tokens.
-    pub fn first_token(&mut self, now: time::Instant, took: Duration, uncached: u64) {
+    pub fn record_first_token(&mut self, now: time::Instant, took: Duration, uncached: u64) {
         #[expect(clippy::cast_precision_loss, reason = "a ratio")]
-        let uncached = (uncached as f64).max(MIN_PROMPT);
+        let uncached = (uncached as f64).max(MIN_PROMPT_TOKENS);
         let took = took.as_secs_f64();
         let per_token = took / uncached;
-        let least = self.per_token.unwrap_or(per_token) * (1.0 + FORGET);
-        let least = least.min(per_token);
-        self.per_token = Some(least);
-        let queued = took - least * uncached;
-        self.late |= queued > FIRST_TOKEN.as_secs_f64() * QUEUEING;
+        let best = self.best_secs_per_token.unwrap_or(per_token) * (1.0 + BEST_DECAY);
+        let best = best.min(per_token);
+        self.best_secs_per_token = Some(best);
+        let queued = took - best * uncached;
+        self.congested |= queued > FIRST_TOKEN.as_secs_f64() * MAX_QUEUEING_FRACTION;
         self.adjust(now);
     }
 
     /// Records the tokens per second of one stream.
-    pub fn stream(&mut self, now: time::Instant, rate: f64) {
-        self.measured = now;
+    pub fn record_speed(&mut self, now: time::Instant, rate: f64) {
+        self.speed_measured = now;
         self.speed.record(rate);
         let average = self.speed.get().unwrap_or(rate);
-        self.best = (self.best * (1.0 - FORGET)).max(average);
+        self.best_speed = (self.best_speed * (1.0 - BEST_DECAY)).max(average);
         self.adjust(now);
     }
 
     /// Records that requests queue inside the endpoint.
-    pub fn queueing(&mut self, now: time::Instant) {
-        self.late = true;
+    pub fn record_queueing(&mut self, now: time::Instant) {
+        self.congested = true;
         self.adjust(now);
     }
 
@@ -189,41 +189,45 @@
     #[must_use]
     pub fn prefill(&self, tokens: u64) -> Duration {
         #[expect(clippy::cast_precision_loss, reason = "an estimate")]
-        let seconds = self.per_token.unwrap_or(0.0) * tokens as f64;
+        let seconds = self.best_secs_per_token.unwrap_or(0.0) * tokens as f64;
         Duration::from_secs_f64(seconds.clamp(0.0, 3600.0))
     }
 
     /// Decreases the window by the usual factor.
     pub fn decrease(&mut self) {
-        self.set(self.limit * DECREASE.0);
+        self.set_limit(self.limit * DECREASE_FACTORS.0);
     }
 
     /// Adjusts the window at most once a period.
     fn adjust(&mut self, now: time::Instant) {
-        if now.since(self.adjusted) < PERIOD {
+        if now.since(self.last_adjusted) < ADJUST_PERIOD {
             return;
         }
-        self.adjusted = now;
-        let relative = self.speed.get().map_or(1.0, |speed| speed / self.best);
-        let (usual, fastest) = DECREASE;
-        if relative < SLOW {
-            self.set(self.limit * (relative / SLOW).clamp(fastest, usual));
-        } else if self.late {
-            self.set(self.limit * usual);
-        } else if relative > FAST && (self.limited || self.limit < self.share) {
-            self.set(self.limit + self.configured * INCREASE);
-        } else if !self.limited && self.peak * HEADROOM < self.limit {
-            let least = self.share * MIN_UNUSED;
-            let unused = (self.limit * UNUSED).max(self.peak * HEADROOM);
-            self.set(self.limit.min(unused.max(least)));
+        self.last_adjusted = now;
+        let relative = self
+            .speed
+            .get()
+            .map_or(1.0, |speed| speed / self.best_speed);
+        let (usual, steepest) = DECREASE_FACTORS;
+        if relative < SLOW_SPEED_FRACTION {
+            self.set_limit(self.limit * (relative / SLOW_SPEED_FRACTION).clamp(steepest, usual));
+        } else if self.congested {
+            self.set_limit(self.limit * usual);
+        } else if relative > FAST_SPEED_FRACTION && (self.limited || self.limit < self.node_share) {
+            self.set_limit(self.limit + self.configured * INCREASE_FRACTION);
+        } else if !self.limited && self.peak_tokens * UNUSED_HEADROOM_FACTOR < self.limit {
+            let floor = self.node_share * MIN_UNUSED_SHARE_FACTOR;
+            let unused = (self.limit * UNUSED_DECREASE_FACTOR)
+                .max(self.peak_tokens * UNUSED_HEADROOM_FACTOR);
+            self.set_limit(self.limit.min(unused.max(floor)));
         }
-        self.late = false;
+        self.congested = false;
         self.limited = false;
-        self.peak = 0.0;
+        self.peak_tokens = 0.0;
     }
 
-    fn set(&mut self, limit: f64) {
-        let (least, most) = BOUNDS;
+    fn set_limit(&mut self, limit: f64) {
+        let (least, most) = LIMIT_BOUNDS;
         self.limit = limit.clamp(self.configured * least, self.configured * most);
     }
 }
