--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -176,7 +176,7 @@
         let Some(waiting) = self.dequeue(now, request) else {
             return;
         };
-        let held = self.prefixes.blocks(slot, &waiting.profile.prefixes);
+        let held = self.prefixes.cached_blocks(slot, &waiting.profile.prefixes);
         let spared = size::Tokens(held * affinity::BLOCK_TOKENS);
         let uncached = waiting.profile.prompt.saturating_sub(spared).0;
         let Some(member) = self.fleet.get_mut(slot) else {
@@ -188,7 +188,8 @@
         member.window.record_in_flight(member.own);
         member.pending += uncached;
         member.requests += 1;
-        self.prefixes.hint(slot, &waiting.profile.prefixes);
+        self.prefixes
+            .record_dispatch(slot, &waiting.profile.prefixes);
         let name = member.record.id.clone();
         let flight = Flight {
             waiting,
@@ -228,7 +229,7 @@
             member.reserved = None;
         }
         if self.fleet.release(slot) {
-            self.prefixes.forget(slot);
+            self.prefixes.remove_endpoint(slot);
         }
         Some(flight)
     }
--- a/lib/src/affinity.rs
+++ b/lib/src/affinity.rs
@@ -21,7 +21,7 @@
 const MAX_ENDPOINT_ENTRIES: usize = 2048;
 
 /// Most leading blocks of a dispatched request that are added as entries.
-const HINT_BLOCKS: usize = 32;
+const MAX_DISPATCH_BLOCKS: usize = 32;
 
 /// Tokens of one block, estimated from its length in bytes.
 pub const BLOCK_TOKENS: u64 = 64;
@@ -30,21 +30,21 @@
 #[derive(Clone, Debug, Default)]
 struct Content {
     sequence: Option<u64>,
-    used: BTreeMap<id::Prefix, u64>,
-    order: BTreeSet<(u64, id::Prefix)>,
+    last_used: BTreeMap<id::Prefix, u64>,
+    by_last_use: BTreeSet<(u64, id::Prefix)>,
 }
 
 /// The known prefixes of all endpoints.
 #[derive(Clone, Debug, Default)]
 pub struct Index {
-    clock: u64,
+    use_counter: u64,
     holders: BTreeSet<(id::Prefix, Slot)>,
     contents: BTreeMap<Slot, Content>,
 }
 
 impl Index {
     /// Applies a cache event; returns false if events before it were missed.
-    pub fn change(&mut self, slot: Slot, cache: &Cache) -> bool {
+    pub fn apply(&mut self, slot: Slot, cache: &Cache) -> bool {
         let content = self.contents.entry(slot).or_default();
         let known = content.sequence;
         if known.is_some_and(|known| cache.sequence <= known) {
@@ -64,14 +64,14 @@
     }
 
     /// Adds the leading blocks of a request that is sent to an endpoint.
-    pub fn hint(&mut self, slot: Slot, prefixes: &[id::Prefix]) {
-        for prefix in prefixes.iter().take(HINT_BLOCKS) {
+    pub fn record_dispatch(&mut self, slot: Slot, prefixes: &[id::Prefix]) {
+        for prefix in prefixes.iter().take(MAX_DISPATCH_BLOCKS) {
             self.insert(slot, *prefix);
         }
     }
 
     /// Removes an endpoint.
-    pub fn forget(&mut self, slot: Slot) {
+    pub fn remove_endpoint(&mut self, slot: Slot) {
         self.clear(slot);
         self.contents.remove(&slot);
     }
@@ -100,7 +100,7 @@
 
     /// Returns the number of leading blocks that an endpoint caches.
     #[must_use]
-    pub fn blocks(&self, slot: Slot, prefixes: &[id::Prefix]) -> u64 {
+    pub fn cached_blocks(&self, slot: Slot, prefixes: &[id::Prefix]) -> u64 {
         let mut blocks = 0;
         for prefix in prefixes {
             if !self.holders.contains(&(*prefix, slot)) {
@@ -124,19 +124,19 @@
     }
 
     fn insert(&mut self, slot: Slot, prefix: id::Prefix) {
-        self.clock += 1;
+        self.use_counter += 1;
         let most = MAX_ENDPOINT_ENTRIES.min(MAX_ENTRIES / self.contents.len().max(1));
         let content = self.contents.entry(slot).or_default();
-        if let Some(before) = content.used.insert(prefix, self.clock) {
-            content.order.remove(&(before, prefix));
+        if let Some(before) = content.last_used.insert(prefix, self.use_counter) {
+            content.by_last_use.remove(&(before, prefix));
         }
-        content.order.insert((self.clock, prefix));
+        content.by_last_use.insert((self.use_counter, prefix));
         self.holders.insert((prefix, slot));
-        while content.used.len() > most {
-            let Some((_, oldest)) = content.order.pop_first() else {
+        while content.last_used.len() > most {
+            let Some((_, oldest)) = content.by_last_use.pop_first() else {
                 return;
             };
-            content.used.remove(&oldest);
+            content.last_used.remove(&oldest);
             self.holders.remove(&(oldest, slot));
         }
     }
@@ -145,8 +145,8 @@
         let Some(content) = self.contents.get_mut(&slot) else {
             return;
         };
-        if let Some(used) = content.used.remove(&prefix) {
-            content.order.remove(&(used, prefix));
+        if let Some(used) = content.last_used.remove(&prefix) {
+            content.by_last_use.remove(&(used, prefix));
             self.holders.remove(&(prefix, slot));
         }
     }
@@ -155,8 +155,8 @@
         let Some(content) = self.contents.get_mut(&slot) else {
             return;
         };
-        content.order.clear();
-        for prefix in std::mem::take(&mut content.used).into_keys() {
+        content.by_last_use.clear();
+        for prefix in std::mem::take(&mut content.last_used).into_keys() {
             self.holders.remove(&(prefix, slot));
         }
     }
--- a/lib/src/health.rs
+++ b/lib/src/health.rs
@@ -52,7 +52,7 @@
         });
         self.share_windows();
         for slot in freed {
-            self.prefixes.forget(slot);
+            self.prefixes.remove_endpoint(slot);
         }
         self.pump_all(now);
     }
@@ -93,7 +93,7 @@
     /// Records a change of an endpoint's prefix cache.
     pub(crate) fn cache(&mut self, name: &id::Endpoint, cache: &Cache) {
         if let Some(slot) = self.fleet.find(name) {
-            self.prefixes.change(slot, cache);
+            self.prefixes.apply(slot, cache);
         }
     }
 
@@ -285,7 +285,7 @@
         if let Some(member) = self.fleet.get_mut(flight.slot) {
             member.broken.insert(fingerprint);
         }
-        let mark = self.marks.broke(now, fingerprint);
+        let mark = self.marks.record_break(now, fingerprint);
         self.effects.push(Effect::Quarantine(mark));
         self.check(now, flight.slot);
     }
--- a/lib/src/isolation.rs
+++ b/lib/src/isolation.rs
@@ -9,7 +9,7 @@
 
 /// Waiting suspects of one service; only the first has an endpoint reserved.
 #[derive(Clone, Debug, Default)]
-pub struct Line {
+pub struct Queue {
     /// The suspects, in order of arrival.
     pub requests: VecDeque<id::Request>,
     /// Slot of the endpoint that is reserved for the first suspect.
@@ -20,31 +20,31 @@
 #[derive(Clone, Debug, Default)]
 pub struct Isolation {
     /// The queues by service.
-    pub lines: BTreeMap<id::Service, Line>,
+    pub lines: BTreeMap<id::Service, Queue>,
 }
 
 impl Isolation {
     /// Adds a suspect; returns false if too many wait.
     pub fn push(&mut self, service: &id::Service, request: id::Request) -> bool {
-        let line = self.lines.entry(service.clone()).or_default();
-        if line.requests.len() >= MAX_SUSPECTS {
+        let queue = self.lines.entry(service.clone()).or_default();
+        if queue.requests.len() >= MAX_SUSPECTS {
             return false;
         }
-        line.requests.push_back(request);
+        queue.requests.push_back(request);
         true
     }
 
     /// Removes a suspect and returns the slot that was reserved for it.
     pub fn remove(&mut self, service: &id::Service, request: id::Request) -> Option<fleet::Slot> {
-        let line = self.lines.get_mut(service)?;
-        let position = line.requests.iter().position(|each| *each == request)?;
-        line.requests.remove(position);
+        let queue = self.lines.get_mut(service)?;
+        let position = queue.requests.iter().position(|each| *each == request)?;
+        queue.requests.remove(position);
         let slot = if position == 0 {
-            line.slot.take()
+            queue.slot.take()
         } else {
             None
         };
-        if line.requests.is_empty() {
+        if queue.requests.is_empty() {
             self.lines.remove(service);
         }
         slot
--- a/lib/src/quarantine.rs
+++ b/lib/src/quarantine.rs
@@ -48,24 +48,24 @@
 
 /// Returns the mark of a confirmed fingerprint.
 #[must_use]
-pub fn confirmed(fingerprint: id::Fingerprint) -> id::Fingerprint {
-    derived(fingerprint, CONFIRMED_SEED)
+pub fn confirmed_mark(fingerprint: id::Fingerprint) -> id::Fingerprint {
+    derive_mark(fingerprint, CONFIRMED_SEED)
 }
 
 /// Returns the mark of a fingerprint whose connection broke.
-fn broken(fingerprint: id::Fingerprint) -> id::Fingerprint {
-    derived(fingerprint, BROKEN_SEED)
+fn broken_mark(fingerprint: id::Fingerprint) -> id::Fingerprint {
+    derive_mark(fingerprint, BROKEN_SEED)
 }
 
 /// Derives a mark from a fingerprint.
-fn derived(fingerprint: id::Fingerprint, seed: u64) -> id::Fingerprint {
+fn derive_mark(fingerprint: id::Fingerprint, seed: u64) -> id::Fingerprint {
     let bytes = fingerprint.0.to_le_bytes();
     id::Fingerprint(xxh3::xxh3_64_with_seed(&bytes, seed))
 }
 
 /// Returns the mark of a fingerprint that was in flight at the death of this
 /// endpoint.
-fn at(fingerprint: id::Fingerprint, endpoint: &id::Endpoint) -> id::Fingerprint {
+fn death_mark(fingerprint: id::Fingerprint, endpoint: &id::Endpoint) -> id::Fingerprint {
     let seed = fingerprint.0;
     id::Fingerprint(xxh3::xxh3_64_with_seed(endpoint.as_str().as_bytes(), seed))
 }
@@ -74,10 +74,11 @@
     /// Returns what the marks say of a fingerprint.
     #[must_use]
     pub fn verdict(&self, now: time::Instant, fingerprint: id::Fingerprint) -> Verdict {
-        if self.holds(now, confirmed(fingerprint)) {
+        if self.is_marked(now, confirmed_mark(fingerprint)) {
             return Verdict::Confirmed;
         }
-        let suspect = self.holds(now, fingerprint) || self.holds(now, broken(fingerprint));
+        let suspect =
+            self.is_marked(now, fingerprint) || self.is_marked(now, broken_mark(fingerprint));
         if suspect && !self.is_cleared(now, fingerprint) {
             return Verdict::Suspect;
         }
@@ -86,8 +87,12 @@
 
     /// Records that the request's connection broke, which may be the first sign
     /// of the endpoint's death, and returns the mark to share with other nodes.
-    pub fn broke(&mut self, now: time::Instant, fingerprint: id::Fingerprint) -> id::Fingerprint {
-        let mark = broken(fingerprint);
+    pub fn record_break(
+        &mut self,
+        now: time::Instant,
+        fingerprint: id::Fingerprint,
+    ) -> id::Fingerprint {
+        let mark = broken_mark(fingerprint);
         self.cleared.remove(&fingerprint);
         self.mark(now, mark, MARK_TTL);
         mark
@@ -104,11 +109,11 @@
         fingerprint: id::Fingerprint,
         endpoint: &id::Endpoint,
     ) -> Vec<id::Fingerprint> {
-        let place = at(fingerprint, endpoint);
-        let mut marks = vec![fingerprint, place];
-        let seen = self.holds(now, fingerprint) && !self.is_cleared(now, fingerprint);
-        if seen && !self.holds(now, place) {
-            marks.push(confirmed(fingerprint));
+        let death = death_mark(fingerprint, endpoint);
+        let mut marks = vec![fingerprint, death];
+        let suspected = self.is_marked(now, fingerprint) && !self.is_cleared(now, fingerprint);
+        if suspected && !self.is_marked(now, death) {
+            marks.push(confirmed_mark(fingerprint));
         }
         self.cleared.remove(&fingerprint);
         for mark in &marks {
@@ -143,7 +148,7 @@
         self.cleared.retain(|_, until| *until > now);
     }
 
-    fn holds(&self, now: time::Instant, mark: id::Fingerprint) -> bool {
+    fn is_marked(&self, now: time::Instant, mark: id::Fingerprint) -> bool {
         self.marks.get(&mark).is_some_and(|until| *until > now)
     }
 
--- a/lib/src/request.rs
+++ b/lib/src/request.rs
@@ -102,7 +102,7 @@
     }
 
     /// Changes the state.
-    fn step<T>(self, state: T) -> Request<T> {
+    fn with_state<T>(self, state: T) -> Request<T> {
         Request {
             id: self.id,
             profile: self.profile,
@@ -134,7 +134,7 @@
     /// request needs none.
     #[must_use]
     pub fn claim(self) -> Request<Claimed> {
-        self.step(Claimed)
+        self.with_state(Claimed)
     }
 }
 
@@ -142,7 +142,7 @@
     /// Records the endpoint that the request is assigned to.
     #[must_use]
     pub fn admit(self, endpoint: id::Endpoint) -> Request<Admitted> {
-        self.step(Admitted { endpoint })
+        self.with_state(Admitted { endpoint })
     }
 }
 
@@ -157,14 +157,14 @@
     /// request can be queued again.
     #[must_use]
     pub fn requeue(self) -> Request<Claimed> {
-        self.step(Claimed)
+        self.with_state(Claimed)
     }
 
     /// Records that bytes may be sent to the endpoint from here on.
     #[must_use]
     pub fn dispatch(self) -> Request<Dispatched> {
         let endpoint = self.state.endpoint.clone();
-        self.step(Dispatched { endpoint })
+        self.with_state(Dispatched { endpoint })
     }
 }
 
@@ -179,7 +179,7 @@
     /// message, which proves that nothing was sent.
     #[must_use]
     pub fn undo<M>(self, _unsent: &M) -> Request<Claimed> {
-        self.step(Claimed)
+        self.with_state(Claimed)
     }
 }
 
--- a/lib/src/tree.rs
+++ b/lib/src/tree.rs
@@ -78,15 +78,15 @@
     #[must_use]
     pub fn leaves(&self) -> BTreeMap<String, String> {
         let mut leaves = BTreeMap::new();
-        self.collect("", &mut leaves);
+        self.collect_leaves("", &mut leaves);
         leaves
     }
 
-    fn collect(&self, path: &str, leaves: &mut BTreeMap<String, String>) {
+    fn collect_leaves(&self, path: &str, leaves: &mut BTreeMap<String, String>) {
         match &self.item {
             Item::Map(entries) => {
                 for (name, node) in entries {
-                    node.collect(&join(path, name), leaves);
+                    node.collect_leaves(&join(path, name), leaves);
                 }
             }
             Item::List(nodes) => {
--- a/lib/tests/test_affinity.rs
+++ b/lib/tests/test_affinity.rs
@@ -23,16 +23,16 @@
     #![proptest_config(property::config())]
 
     #[test]
-    fn index_agrees_with_sets(
+    fn index_matches_sets(
         steps in proptest::collection::vec((0..4usize, change(), 0..10u8), 1..200),
     ) {
         let mut index = Index::default();
         let mut sets: BTreeMap<usize, BTreeSet<Prefix>> = BTreeMap::new();
         let mut sequences: BTreeMap<usize, u64> = BTreeMap::new();
-        for (slot, change, luck) in steps {
+        for (slot, change, draw) in steps {
             let sequence = sequences.entry(slot).or_insert(0);
             let set = sets.entry(slot).or_default();
-            let gap = luck == 0 && *sequence > 0;
+            let gap = draw == 0 && *sequence > 0;
             *sequence += if gap { 2 } else { 1 };
             if gap {
                 set.clear();
@@ -42,16 +42,16 @@
                 Change::Removed(prefix) => { set.remove(&prefix); }
                 Change::Cleared => set.clear(),
             }
-            let gapless = index.change(slot, &Cache { sequence: *sequence, change });
+            let gapless = index.apply(slot, &Cache { sequence: *sequence, change });
             prop_assert_eq!(gapless, !gap);
             let again = Cache { sequence: *sequence, change: Change::Stored(Prefix(99)) };
-            index.change(slot, &again);
+            index.apply(slot, &again);
             let wanted: Vec<Prefix> = (0..12).map(Prefix).collect();
             let held = index.held(&wanted);
             for (slot, set) in &sets {
                 let blocks = wanted.iter().take_while(|prefix| set.contains(prefix)).count();
                 prop_assert_eq!(held.get(slot).copied().unwrap_or(0), blocks as u64);
-                prop_assert_eq!(index.blocks(*slot, &wanted), blocks as u64);
+                prop_assert_eq!(index.cached_blocks(*slot, &wanted), blocks as u64);
             }
             prop_assert_eq!(index.len(), sets.values().map(BTreeSet::len).sum::<usize>());
         }
@@ -59,14 +59,14 @@
 }
 
 #[test]
-fn least_recently_used_entries_go_first() {
+fn least_recently_used_entries_are_evicted_first() {
     let mut index = Index::default();
     for number in 0..3000u64 {
-        index.hint(0, &[Prefix(1_000_000), Prefix(number)]);
+        index.record_dispatch(0, &[Prefix(1_000_000), Prefix(number)]);
     }
     assert!(index.len() <= 2048);
-    assert_eq!(index.blocks(0, &[Prefix(1_000_000)]), 1);
-    assert_eq!(index.blocks(0, &[Prefix(0)]), 0);
-    index.forget(0);
+    assert_eq!(index.cached_blocks(0, &[Prefix(1_000_000)]), 1);
+    assert_eq!(index.cached_blocks(0, &[Prefix(0)]), 0);
+    index.remove_endpoint(0);
     assert!(index.is_empty());
 }
