--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -183,9 +183,9 @@
             return;
         };
         let cost = waiting.cost;
-        member.own += cost;
-        member.by_tier[fleet::rank(waiting.profile.tier)] += cost;
-        member.window.record_in_flight(member.own);
+        member.own_tokens += cost;
+        member.own_tokens_by_tier[fleet::tier_index(waiting.profile.tier)] += cost;
+        member.window.record_in_flight(member.own_tokens);
         member.pending += uncached;
         member.requests += 1;
         self.prefixes
@@ -212,15 +212,15 @@
         let slot = flight.slot;
         let member = self.fleet.get_mut(slot)?;
         assert!(
-            member.own >= flight.cost,
+            member.own_tokens >= flight.cost,
             "request {request} holds more tokens than are in flight at its endpoint"
         );
         assert!(
             member.requests > 0,
             "request {request} ends at an endpoint without requests in flight"
         );
-        member.own -= flight.cost;
-        member.by_tier[fleet::rank(flight.waiting.profile.tier)] -= flight.cost;
+        member.own_tokens -= flight.cost;
+        member.own_tokens_by_tier[fleet::tier_index(flight.waiting.profile.tier)] -= flight.cost;
         if flight.started.is_none() {
             member.pending -= flight.uncached;
         }
--- a/lib/src/balance.rs
+++ b/lib/src/balance.rs
@@ -8,16 +8,16 @@
 use crate::{fleet, id, time};
 
 /// Multiple of the mean load that an endpoint may exceed by at most
-/// [`LOAD_SLACK`] and still be preferred for the prefixes that it caches.
-const LOAD_FACTOR: f64 = 1.25;
+/// [`AFFINITY_LOAD_SLACK`] and still be preferred for the prefixes that it caches.
+const AFFINITY_LOAD_FACTOR: f64 = 1.25;
 
 /// Load above that multiple up to which cached prefixes still decide. Without
 /// it, an endpoint that is barely loaded would be passed over whenever the
 /// others are idle.
-const LOAD_SLACK: f64 = 1.5;
+const AFFINITY_LOAD_SLACK: f64 = 1.5;
 
 /// Percentage of the window that each tier may fill, highest tier first.
-const TIER_PERCENT: [u64; fleet::TIERS] = [150, 110, 95, 80];
+const TIER_WINDOW_PERCENT: [u64; fleet::MAX_TIERS] = [150, 110, 95, 80];
 
 /// How a node chooses an endpoint and limits the tokens that it holds there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -37,7 +37,7 @@
 
 /// Inputs of a choice other than the endpoints.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms<'a> {
+pub struct Context<'a> {
     /// The current time.
     pub now: time::Instant,
     /// The policy.
@@ -56,19 +56,19 @@
     /// Tokens in use that the policy counts against the limit.
     pub used: u64,
     /// Tokens in use by other nodes, by the endpoint's last load report.
-    pub others: u64,
+    pub other_tokens: u64,
     /// Limit of the tokens in use, before the tier's percentage.
     pub limit: u64,
     /// Equal share of the configured window for each node.
-    pub share: u64,
+    pub node_share: u64,
     /// Whether it runs in the node's own data centre.
     pub local: bool,
     /// Tokens in use by the request's tier and those above it.
-    pub held: u64,
+    pub used_by_tiers: u64,
     /// Leading blocks of the prompt that its prefix cache is known to hold.
     pub blocks: u64,
     /// Hash of its name.
-    pub key: u64,
+    pub name_hash: u64,
     /// Tokens per second of one stream, if known and recent.
     pub speed: Option<f64>,
 }
@@ -82,11 +82,11 @@
     /// an endpoint where nothing is in use.
     #[must_use]
     pub fn fits(&self, tier: id::Tier, cost: u64) -> bool {
-        let rank = fleet::rank(tier);
-        let limit = self.limit.saturating_mul(TIER_PERCENT[rank]) / 100;
-        let floor = if rank == 0 { self.share } else { 1 };
+        let index = fleet::tier_index(tier);
+        let limit = self.limit.saturating_mul(TIER_WINDOW_PERCENT[index]) / 100;
+        let floor = if index == 0 { self.node_share } else { 1 };
         let limit = limit.max(floor);
-        self.used == 0 || self.held + cost <= limit
+        self.used == 0 || self.used_by_tiers + cost <= limit
     }
 
     /// Returns whether an answer of this many tokens can be generated in this
@@ -103,7 +103,7 @@
     #[must_use]
     pub fn load(&self) -> f64 {
         #[expect(clippy::cast_precision_loss, reason = "a ratio")]
-        let load = self.used as f64 / self.share as f64;
+        let load = self.used as f64 / self.node_share as f64;
         load
     }
 
@@ -111,12 +111,12 @@
     #[must_use]
     pub fn total(&self) -> f64 {
         #[expect(clippy::cast_precision_loss, reason = "a ratio")]
-        let total = (self.used + self.others) as f64 / self.limit.max(1) as f64;
+        let total = (self.used + self.other_tokens) as f64 / self.limit.max(1) as f64;
         total
     }
 }
 
-impl Terms<'_> {
+impl Context<'_> {
     /// Returns an endpoint with the usage and limit that the policy counts.
     #[must_use]
     pub fn candidate(
@@ -131,32 +131,32 @@
             Policy::RoundRobin => None,
             _ => member.window.speed(self.now),
         };
-        let share = (configured / self.nodes).max(1);
-        let held = match self.policy {
+        let node_share = (configured / self.nodes).max(1);
+        let used_by_tiers = match self.policy {
             Policy::RoundRobin => 0,
-            Policy::LeastLoad => member.reported(),
-            Policy::TwoChoices | Policy::Shares => member.held(tier),
+            Policy::LeastLoad => member.reported_tokens(),
+            Policy::TwoChoices | Policy::Shares => member.own_tokens_at_or_above(tier),
         };
-        let others = match self.policy {
-            Policy::TwoChoices => member.others,
+        let other_tokens = match self.policy {
+            Policy::TwoChoices => member.other_tokens,
             Policy::RoundRobin | Policy::LeastLoad | Policy::Shares => 0,
         };
         let (used, limit) = match self.policy {
             Policy::RoundRobin => (0, u64::MAX),
-            Policy::LeastLoad => (member.reported(), configured),
-            Policy::TwoChoices => (member.own, window),
-            Policy::Shares => (member.own, share),
+            Policy::LeastLoad => (member.reported_tokens(), configured),
+            Policy::TwoChoices => (member.own_tokens, window),
+            Policy::Shares => (member.own_tokens, node_share),
         };
         Candidate {
             slot,
             used,
-            others,
+            other_tokens,
             limit,
-            share,
+            node_share,
             local: member.record.data_centre == *self.data_centre,
-            held,
+            used_by_tiers,
             blocks: 0,
-            key: member.key,
+            name_hash: member.name_hash,
             speed,
         }
     }
@@ -172,26 +172,26 @@
         first: Option<id::Prefix>,
     ) -> Option<Candidate> {
         if self.policy == Policy::RoundRobin {
-            return next(turn, fitting);
+            return next_in_turn(turn, fitting);
         }
         let mut pool: Vec<Candidate> = fitting.iter().copied().filter(|each| each.local).collect();
         if pool.is_empty() {
             pool.extend_from_slice(fitting);
         }
         if self.policy == Policy::LeastLoad {
-            return least(&pool);
+            return least_loaded(&pool);
         }
         let Some(first) = first else {
             return two_choices(rng, &pool);
         };
-        bounded(&pool)
-            .or_else(|| bounded(fitting))
-            .or_else(|| preferred(first, &pool))
+        most_cached_within_bound(&pool)
+            .or_else(|| most_cached_within_bound(fitting))
+            .or_else(|| rendezvous_choice(first, &pool))
     }
 }
 
 /// Returns the next candidate in round-robin order.
-fn next(turn: &mut u64, pool: &[Candidate]) -> Option<Candidate> {
+fn next_in_turn(turn: &mut u64, pool: &[Candidate]) -> Option<Candidate> {
     let len = u64::try_from(pool.len()).ok().filter(|len| *len > 0)?;
     *turn += 1;
     let index = usize::try_from(*turn % len).ok()?;
@@ -199,38 +199,41 @@
 }
 
 /// Returns the candidate with the least load.
-fn least(pool: &[Candidate]) -> Option<Candidate> {
+fn least_loaded(pool: &[Candidate]) -> Option<Candidate> {
     let by_load = |a: &&Candidate, b: &&Candidate| a.load().total_cmp(&b.load());
     pool.iter().min_by(by_load).copied()
 }
 
 /// Returns the candidate that caches most leading blocks of the prompt, among
 /// those within the load bound; of equals, the least loaded.
-fn bounded(pool: &[Candidate]) -> Option<Candidate> {
-    let bound = bound(pool);
+fn most_cached_within_bound(pool: &[Candidate]) -> Option<Candidate> {
+    let bound = affinity_load_bound(pool);
     let eligible = |each: &&Candidate| each.blocks > 0 && each.load() <= bound;
-    let by_held = |a: &&Candidate, b: &&Candidate| {
+    let by_cached_blocks = |a: &&Candidate, b: &&Candidate| {
         a.blocks.cmp(&b.blocks).then(b.load().total_cmp(&a.load()))
     };
-    pool.iter().filter(eligible).max_by(by_held).copied()
+    pool.iter()
+        .filter(eligible)
+        .max_by(by_cached_blocks)
+        .copied()
 }
 
 /// Returns the load up to which an endpoint is preferred for cached prefixes.
-fn bound(pool: &[Candidate]) -> f64 {
+fn affinity_load_bound(pool: &[Candidate]) -> f64 {
     let total: f64 = pool.iter().map(Candidate::load).sum();
     #[expect(clippy::cast_precision_loss, reason = "a mean")]
     let mean = total / pool.len().max(1) as f64;
-    mean * LOAD_FACTOR + LOAD_SLACK
+    mean * AFFINITY_LOAD_FACTOR + AFFINITY_LOAD_SLACK
 }
 
 /// Returns the less loaded of the two endpoints with the highest rendezvous
 /// weights for the prefix, which are the same at all nodes.
-fn preferred(first: id::Prefix, pool: &[Candidate]) -> Option<Candidate> {
-    let weight = |each: &Candidate| xxh3::xxh3_64_with_seed(&each.key.to_le_bytes(), first.0);
+fn rendezvous_choice(first: id::Prefix, pool: &[Candidate]) -> Option<Candidate> {
+    let weight = |each: &Candidate| xxh3::xxh3_64_with_seed(&each.name_hash.to_le_bytes(), first.0);
     let mut ranked = pool.to_vec();
     ranked.sort_by_key(|each| Reverse(weight(each)));
     ranked.truncate(2);
-    least(&ranked)
+    least_loaded(&ranked)
 }
 
 /// Returns the less loaded of two random candidates.
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -18,7 +18,7 @@
 pub const AVOID_PERIOD: Duration = Duration::from_secs(1);
 
 /// Most tiers that the configuration can name.
-pub const TIERS: usize = 4;
+pub const MAX_TIERS: usize = 4;
 
 /// Index of an endpoint in the table; stable while the endpoint is listed or
 /// serves a request.
@@ -26,8 +26,8 @@
 
 /// Returns the index of a tier in per-tier arrays, the highest tier first.
 #[must_use]
-pub fn rank(tier: id::Tier) -> usize {
-    usize::from(tier.0).min(TIERS - 1)
+pub fn tier_index(tier: id::Tier) -> usize {
+    usize::from(tier.0).min(MAX_TIERS - 1)
 }
 
 /// Whether an endpoint is known to answer.
@@ -47,22 +47,22 @@
     /// Its entry in the host list.
     pub record: Record,
     /// Hash of its name.
-    pub key: u64,
+    pub name_hash: u64,
     /// Whether the current host list names it.
     pub listed: bool,
     /// Its last load report.
     pub load: Option<Load>,
     /// Tokens that this node has in flight there.
-    pub own: u64,
+    pub own_tokens: u64,
     /// Tokens that this node has in flight there by tier, the highest first.
-    pub by_tier: [u64; TIERS],
+    pub own_tokens_by_tier: [u64; MAX_TIERS],
     /// Uncached prompt tokens of this node's requests there that have no first
     /// token yet.
     pub pending: u64,
     /// Requests that this node has in flight there.
     pub requests: u32,
     /// Tokens that other nodes have in flight there, by its last load report.
-    pub others: u64,
+    pub other_tokens: u64,
     /// Limit of the tokens that this node may have in flight there.
     pub window: Window,
     /// Whether it is known to answer.
@@ -79,15 +79,15 @@
 impl Member {
     fn new(record: Record, window: u64) -> Self {
         Self {
-            key: xxh3::xxh3_64(record.id.as_str().as_bytes()),
+            name_hash: xxh3::xxh3_64(record.id.as_str().as_bytes()),
             record,
             listed: true,
             load: None,
-            own: 0,
-            by_tier: [0; TIERS],
+            own_tokens: 0,
+            own_tokens_by_tier: [0; MAX_TIERS],
             pending: 0,
             requests: 0,
-            others: 0,
+            other_tokens: 0,
             window: Window::new(window),
             health: Health::Sound,
             avoided_until: time::Instant::default(),
@@ -109,8 +109,8 @@
     /// Returns whether the host list or its load report says that it is leaving.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
-        let said = self.load.as_ref().map(|load| load.standing);
-        self.record.standing == Standing::Leaving || said == Some(Standing::Leaving)
+        let reported = self.load.as_ref().map(|load| load.standing);
+        self.record.standing == Standing::Leaving || reported == Some(Standing::Leaving)
     }
 
     /// Returns whether it is healthy and neither avoided nor reserved.
@@ -132,13 +132,13 @@
     /// Returns the tokens that this node has in flight there for this tier and
     /// those above it.
     #[must_use]
-    pub fn held(&self, tier: id::Tier) -> u64 {
-        self.by_tier[..=rank(tier)].iter().sum()
+    pub fn own_tokens_at_or_above(&self, tier: id::Tier) -> u64 {
+        self.own_tokens_by_tier[..=tier_index(tier)].iter().sum()
     }
 
     /// Returns the tokens of its last load report, zero without one.
     #[must_use]
-    pub fn reported(&self) -> u64 {
+    pub fn reported_tokens(&self) -> u64 {
         self.load.as_ref().map_or(0, |load| load.tokens.0)
     }
 }
@@ -147,9 +147,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     members: Vec<Option<Member>>,
-    free: Vec<Slot>,
-    names: BTreeMap<id::Endpoint, Slot>,
-    services: BTreeMap<id::Service, Vec<Slot>>,
+    free_slots: Vec<Slot>,
+    slots_by_name: BTreeMap<id::Endpoint, Slot>,
+    slots_by_service: BTreeMap<id::Service, Vec<Slot>>,
 }
 
 impl Fleet {
@@ -162,14 +162,14 @@
         records: Vec<Record>,
         window: impl Fn(&id::Service) -> u64,
     ) -> Vec<Slot> {
-        let mut gone: BTreeSet<Slot> = self.names.values().copied().collect();
+        let mut unlisted: BTreeSet<Slot> = self.slots_by_name.values().copied().collect();
         for record in records {
-            let Some(&slot) = self.names.get(&record.id) else {
+            let Some(&slot) = self.slots_by_name.get(&record.id) else {
                 let tokens = window(&record.service);
                 self.insert(Member::new(record, tokens));
                 continue;
             };
-            gone.remove(&slot);
+            unlisted.remove(&slot);
             let Some(member) = self.get_mut(slot) else {
                 continue;
             };
@@ -181,12 +181,12 @@
             member.record = record;
         }
         let mut freed = Vec::new();
-        for slot in gone {
-            if self.retire(slot) {
+        for slot in unlisted {
+            if self.unlist(slot) {
                 freed.push(slot);
             }
         }
-        self.index();
+        self.rebuild_service_index();
         freed
     }
 
@@ -204,48 +204,50 @@
     /// Returns the slot of a named endpoint.
     #[must_use]
     pub fn find(&self, name: &id::Endpoint) -> Option<Slot> {
-        self.names.get(name).copied()
+        self.slots_by_name.get(name).copied()
     }
 
     /// Returns the slots of a service's endpoints.
     #[must_use]
     pub fn of_service(&self, service: &id::Service) -> &[Slot] {
-        self.services.get(service).map_or(&[], Vec::as_slice)
+        self.slots_by_service
+            .get(service)
+            .map_or(&[], Vec::as_slice)
     }
 
     /// Returns all slots in use.
     #[must_use]
     pub fn slots(&self) -> Vec<Slot> {
-        self.names.values().copied().collect()
+        self.slots_by_name.values().copied().collect()
     }
 
     /// Frees the slot of an endpoint that is neither listed nor serves a
     /// request; returns whether it was freed.
     pub fn release(&mut self, slot: Slot) -> bool {
-        let idle = |member: &Member| !member.listed && member.requests == 0;
-        if !self.get(slot).is_some_and(idle) {
+        let is_unused = |member: &Member| !member.listed && member.requests == 0;
+        if !self.get(slot).is_some_and(is_unused) {
             return false;
         }
         if let Some(member) = self.members[slot].take() {
-            self.names.remove(&member.record.id);
-            self.free.push(slot);
+            self.slots_by_name.remove(&member.record.id);
+            self.free_slots.push(slot);
         }
-        self.index();
+        self.rebuild_service_index();
         true
     }
 
     fn insert(&mut self, member: Member) {
         let name = member.record.id.clone();
-        let slot = self.free.pop().unwrap_or(self.members.len());
+        let slot = self.free_slots.pop().unwrap_or(self.members.len());
         if slot == self.members.len() {
             self.members.push(None);
         }
         self.members[slot] = Some(member);
-        self.names.insert(name, slot);
+        self.slots_by_name.insert(name, slot);
     }
 
     /// Marks an endpoint as no longer listed; returns whether its slot was freed.
-    fn retire(&mut self, slot: Slot) -> bool {
+    fn unlist(&mut self, slot: Slot) -> bool {
         if let Some(member) = self.get_mut(slot) {
             member.listed = false;
         }
@@ -253,14 +255,14 @@
     }
 
     /// Rebuilds the index by service.
-    fn index(&mut self) {
-        self.services.clear();
-        for &slot in self.names.values() {
+    fn rebuild_service_index(&mut self) {
+        self.slots_by_service.clear();
+        for &slot in self.slots_by_name.values() {
             let Some(member) = &self.members[slot] else {
                 continue;
             };
             let service = member.record.service.clone();
-            self.services.entry(service).or_default().push(slot);
+            self.slots_by_service.entry(service).or_default().push(slot);
         }
     }
 }
--- a/lib/src/health.rs
+++ b/lib/src/health.rs
@@ -81,7 +81,7 @@
         let Some(member) = self.fleet.get_mut(slot) else {
             return;
         };
-        member.others = load.tokens.0.saturating_sub(member.own);
+        member.other_tokens = load.tokens.0.saturating_sub(member.own_tokens);
         if load.waiting > 0 {
             member.window.record_queueing(now);
         }
--- a/lib/src/report.rs
+++ b/lib/src/report.rs
@@ -84,7 +84,7 @@
                 data_centre: member.record.data_centre.clone(),
                 state: state(member, now),
                 window: size::Tokens(member.window.limit()),
-                in_flight: size::Tokens(member.own),
+                in_flight: size::Tokens(member.own_tokens),
                 requests: member.requests,
             });
         }
@@ -102,20 +102,20 @@
         for name in text.services.keys() {
             let mut missing = Vec::new();
             for needed in text::graph::closure(&text.services, name) {
-                if self.open(now, &needed) == 0 {
+                if self.open_endpoints(now, &needed) == 0 {
                     missing.push(needed);
                 }
             }
             services.push(Service {
                 name: name.clone(),
-                open: self.open(now, name),
+                open: self.open_endpoints(now, name),
                 missing,
             });
         }
         services
     }
 
-    fn open(&self, now: time::Instant, service: &id::Service) -> usize {
+    fn open_endpoints(&self, now: time::Instant, service: &id::Service) -> usize {
         let members = self.fleet.of_service(service).iter();
         let members = members.filter_map(|&slot| self.fleet.get(slot));
         members
--- a/lib/src/scheduler.rs
+++ b/lib/src/scheduler.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     affinity,
-    balance::{Policy, Terms},
+    balance::{Context, Policy},
     effect::Effect,
     event::Event,
     fleet::{Fleet, Slot},
@@ -33,8 +33,8 @@
 
 impl Settings {
     /// Returns the inputs of a choice other than the endpoints.
-    pub(crate) fn terms(&self, now: time::Instant, nodes: usize) -> Terms<'_> {
-        Terms {
+    pub(crate) fn terms(&self, now: time::Instant, nodes: usize) -> Context<'_> {
+        Context {
             now,
             policy: self.policy,
             nodes: u64::try_from(nodes).unwrap_or(u64::MAX).max(1),
