--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -12,7 +12,7 @@
     flight::{Flight, Waiting},
     id,
     placement::Place,
-    pool::{Lane, MAX_WAITING, Pool},
+    pool::{Backlog, Lane, MAX_WAITING},
     quarantine::Verdict,
     refusal::{Reason, Refusal},
     request::Profile,
@@ -29,7 +29,7 @@
 /// Multiple of the time left that the estimated wait must exceed before a
 /// request is refused while requests of lower tiers wait. Those can be evicted
 /// first, so that the service isn't overloaded yet for the higher tier.
-const REFUSAL_FACTOR: u32 = 2;
+const REFUSAL_WAIT_FACTOR: u32 = 2;
 
 /// Largest random increase of a retry delay, relative to the delay.
 const RETRY_JITTER: f64 = 0.25;
@@ -57,7 +57,7 @@
     /// Removes a request that its caller gave up, whether it waits or was just
     /// admitted.
     pub(crate) fn withdraw(&mut self, now: time::Instant, request: id::Request) {
-        if let Some(flight) = self.land(request) {
+        if let Some(flight) = self.remove_flight(request) {
             return self.pump(now, &flight.waiting.profile.service);
         }
         if let Some(waiting) = self.forget(now, request) {
@@ -66,8 +66,8 @@
     }
 
     /// Queues an admitted request again that was not sent to its endpoint.
-    pub(crate) fn unsend(&mut self, now: time::Instant, request: id::Request) {
-        let Some(flight) = self.land(request) else {
+    pub(crate) fn requeue_unsent(&mut self, now: time::Instant, request: id::Request) {
+        let Some(flight) = self.remove_flight(request) else {
             return;
         };
         let mut waiting = flight.waiting;
@@ -88,28 +88,31 @@
         if !self.has_usable(&profile) {
             return None;
         }
-        let held = self.prefixes.held(&profile.prefixes);
+        let cached_blocks = self.prefixes.held(&profile.prefixes);
         let lane = self.lane(&profile);
-        let output = lane.expected(profile.output.0);
-        let held = held.values().max().copied().unwrap_or(0);
-        let spared = size::Tokens(affinity::BLOCK_TOKENS * held);
+        let expected_output = lane.expected_output(profile.output.0);
+        let most_blocks = cached_blocks.values().max().copied().unwrap_or(0);
+        let cached = size::Tokens(affinity::BLOCK_TOKENS * most_blocks);
         let (cost, work) = match kind {
             text::Kind::Model => {
-                let uncached = profile.prompt.saturating_sub(spared).0;
-                (profile.prompt.0 + output, uncached + output)
+                let uncached = profile.prompt.saturating_sub(cached).0;
+                (
+                    profile.prompt.0 + expected_output,
+                    uncached + expected_output,
+                )
             }
             text::Kind::Plain => (1, 1),
         };
-        let service = lane.service(output);
-        let due = profile.deadline - service;
+        let service_time = lane.service_time(expected_output);
+        let admit_by = profile.deadline - service_time;
         Some(Waiting {
             profile,
             kind,
             cost: cost.max(1),
             work: work.max(1),
             share,
-            output,
-            due,
+            expected_output,
+            admit_by,
             avoided: Vec::new(),
         })
     }
@@ -119,15 +122,17 @@
     fn enqueue(&mut self, now: time::Instant, request: id::Request, waiting: Waiting) {
         let profile = Arc::clone(&waiting.profile);
         let lane = self.lane(&profile);
-        let wait = lane.wait(profile.tier, &profile.workspace, waiting.share);
-        let naive = self.settings.policy == Policy::RoundRobin;
-        if waiting.due <= now && !naive {
+        let wait = lane.estimated_wait(profile.tier, &profile.workspace, waiting.share);
+        let round_robin = self.settings.policy == Policy::RoundRobin;
+        if waiting.admit_by <= now && !round_robin {
             return self.refuse(request, Reason::Deadline, MIN_RETRY);
         }
-        let slack = waiting.due.since(now);
-        let lowest = self.lowest(&profile.service).map(|(tier, _)| tier);
+        let slack = waiting.admit_by.since(now);
+        let lowest = self
+            .eviction_candidate(&profile.service)
+            .map(|(tier, _)| tier);
         let factor = if lowest > Some(profile.tier) {
-            REFUSAL_FACTOR
+            REFUSAL_WAIT_FACTOR
         } else {
             1
         };
@@ -137,12 +142,12 @@
         }
         let lane = self.lane(&profile);
         let waited = !lane.queue.is_empty();
-        lane.drained(now, 0, waited);
-        lane.arrived(now, profile.tier, waiting.work);
+        lane.record_admission(now, 0, waited);
+        lane.record_arrival(now, profile.tier, waiting.work);
         lane.queue.push(profile.tier, waiting.item(request));
         self.waiting.insert(request, waiting);
         self.pump(now, &profile.service);
-        self.bound(now, &profile.service);
+        self.enforce_max_waiting(now, &profile.service);
         if self.draining && self.waiting.contains_key(&request) {
             self.forget(now, request);
             self.refuse(request, Reason::Shutdown, MIN_RETRY);
@@ -154,10 +159,10 @@
         self.pump_suspects(now, service);
         let mut blocked = Vec::new();
         loop {
-            let Some(pool) = self.pools.get(service) else {
+            let Some(backlog) = self.backlogs.get(service) else {
                 return;
             };
-            let Some((model, request)) = pool.next(&blocked) else {
+            let Some((model, request)) = backlog.next(&blocked) else {
                 return;
             };
             match self.place(now, request) {
@@ -176,9 +181,9 @@
         let Some(waiting) = self.dequeue(now, request) else {
             return;
         };
-        let held = self.prefixes.cached_blocks(slot, &waiting.profile.prefixes);
-        let spared = size::Tokens(held * affinity::BLOCK_TOKENS);
-        let uncached = waiting.profile.prompt.saturating_sub(spared).0;
+        let blocks = self.prefixes.cached_blocks(slot, &waiting.profile.prefixes);
+        let cached = size::Tokens(blocks * affinity::BLOCK_TOKENS);
+        let uncached = waiting.profile.prompt.saturating_sub(cached).0;
         let Some(member) = self.fleet.get_mut(slot) else {
             return;
         };
@@ -197,8 +202,8 @@
             cost,
             admitted: now,
             started: None,
-            received: 0,
-            measured: now,
+            received_tokens: 0,
+            measured_since: now,
             uncached,
         };
         let previous = self.flights.insert(request, flight);
@@ -207,7 +212,7 @@
     }
 
     /// Removes an admitted request and frees what it occupied at its endpoint.
-    pub(crate) fn land(&mut self, request: id::Request) -> Option<Flight> {
+    pub(crate) fn remove_flight(&mut self, request: id::Request) -> Option<Flight> {
         let flight = self.flights.remove(&request)?;
         let slot = flight.slot;
         let member = self.fleet.get_mut(slot)?;
@@ -247,7 +252,7 @@
 
     /// Refuses every request below this tier that waits for the service.
     pub(crate) fn shed_below(&mut self, now: time::Instant, service: &id::Service, tier: id::Tier) {
-        while let Some((lowest, request)) = self.lowest(service) {
+        while let Some((lowest, request)) = self.eviction_candidate(service) {
             if lowest <= tier {
                 return;
             }
@@ -257,39 +262,39 @@
 
     /// Refuses the waiting requests whose deadline can't be met any more.
     pub(crate) fn expire(&mut self, now: time::Instant, service: &id::Service) {
-        let mut late = self.late_suspects(now, service);
-        let lanes = self.pools.get(service).map(|pool| &pool.lanes);
+        let mut overdue = self.overdue_suspects(now, service);
+        let lanes = self.backlogs.get(service).map(|backlog| &backlog.lanes);
         for lane in lanes.into_iter().flat_map(|lanes| lanes.values()) {
-            for (due, request) in lane.queue.by_deadline() {
-                if due > now {
+            for (admit_by, request) in lane.queue.by_deadline() {
+                if admit_by > now {
                     break;
                 }
-                late.push(request);
+                overdue.push(request);
             }
         }
-        for request in late {
+        for request in overdue {
             let Some(waiting) = self.forget(now, request) else {
                 continue;
             };
             self.shed_below(now, service, waiting.profile.tier);
-            let wait = self.wait(&waiting);
+            let wait = self.estimated_wait(&waiting);
             self.refuse(request, Reason::Deadline, wait);
         }
     }
 
     /// Returns the waiting suspects whose deadline can't be met any more.
-    fn late_suspects(&self, now: time::Instant, service: &id::Service) -> Vec<id::Request> {
-        let mut late = Vec::new();
+    fn overdue_suspects(&self, now: time::Instant, service: &id::Service) -> Vec<id::Request> {
+        let mut overdue = Vec::new();
         let line = self.isolation.lines.get(service);
         for request in line.into_iter().flat_map(|line| &line.requests) {
             let Some(waiting) = self.waiting.get(request) else {
                 continue;
             };
-            if waiting.due <= now {
-                late.push(*request);
+            if waiting.admit_by <= now {
+                overdue.push(*request);
             }
         }
-        late
+        overdue
     }
 
     /// Removes a waiting request from its queue, without admitting it.
@@ -297,7 +302,7 @@
         let waiting = self.waiting.remove(&request)?;
         let lane = self.lane(&waiting.profile);
         let waited = !lane.queue.is_empty();
-        lane.drained(now, 0, waited);
+        lane.record_admission(now, 0, waited);
         lane.queue.remove(request);
         let service = &waiting.profile.service;
         let reserved = self.isolation.remove(service, request);
@@ -309,8 +314,8 @@
 
     /// Returns the lane of the request's service and model.
     pub(crate) fn lane(&mut self, profile: &Profile) -> &mut Lane {
-        let pool = self.pools.entry(profile.service.clone()).or_default();
-        pool.lanes.entry(profile.model.clone()).or_default()
+        let backlog = self.backlogs.entry(profile.service.clone()).or_default();
+        backlog.lanes.entry(profile.model.clone()).or_default()
     }
 
     /// Removes a request from its queue in order to admit it.
@@ -320,14 +325,14 @@
         let waited = !lane.queue.is_empty();
         if lane.queue.peek().is_some_and(|(_, next)| next == request) {
             lane.queue.pop();
-            lane.drained(now, waiting.work, waited);
+            lane.record_admission(now, waiting.work, waited);
         }
         Some(waiting)
     }
 
     /// Returns the request to evict first and its tier.
-    fn lowest(&self, service: &id::Service) -> Option<(id::Tier, id::Request)> {
-        let queued = self.pools.get(service).and_then(Pool::victim);
+    fn eviction_candidate(&self, service: &id::Service) -> Option<(id::Tier, id::Request)> {
+        let queued = self.backlogs.get(service).and_then(Backlog::victim);
         let suspect = self.lowest_suspect(service);
         match (queued, suspect) {
             (Some(queued), Some(suspect)) if suspect.0 > queued.0 => Some(suspect),
@@ -337,9 +342,9 @@
 
     /// Evicts requests, lowest tier first, while more than [`MAX_WAITING`] wait
     /// for the service.
-    fn bound(&mut self, now: time::Instant, service: &id::Service) {
-        while self.pools.get(service).map_or(0, Pool::len) > MAX_WAITING {
-            let Some((_, request)) = self.lowest(service) else {
+    fn enforce_max_waiting(&mut self, now: time::Instant, service: &id::Service) {
+        while self.backlogs.get(service).map_or(0, Backlog::len) > MAX_WAITING {
+            let Some((_, request)) = self.eviction_candidate(service) else {
                 return;
             };
             self.evict(now, request);
@@ -352,20 +357,20 @@
             return;
         };
         let profile = &waiting.profile;
-        let lowest = self.lowest(&profile.service);
+        let lowest = self.eviction_candidate(&profile.service);
         assert!(
             lowest.is_none_or(|(tier, _)| tier <= profile.tier),
             "request {request} is refused for overload while a lower tier waits"
         );
-        let wait = self.wait(&waiting);
+        let wait = self.estimated_wait(&waiting);
         self.refuse(request, Reason::Overload, wait);
     }
 
     /// Returns the estimated wait of a request if it arrived now.
-    fn wait(&mut self, waiting: &Waiting) -> Duration {
+    fn estimated_wait(&mut self, waiting: &Waiting) -> Duration {
         let profile = &waiting.profile;
         let lane = self.lane(profile);
-        let wait = lane.wait(profile.tier, &profile.workspace, waiting.share);
+        let wait = lane.estimated_wait(profile.tier, &profile.workspace, waiting.share);
         wait.unwrap_or(MIN_RETRY)
     }
 }
--- a/lib/src/flight.rs
+++ b/lib/src/flight.rs
@@ -17,11 +17,11 @@
     /// known to cache, and its expected answer.
     pub work: u64,
     /// Expected tokens of its answer.
-    pub output: u64,
+    pub expected_output: u64,
     /// Its workspace's share.
     pub share: u32,
     /// Latest time of admission that leaves enough time for its answer.
-    pub due: time::Instant,
+    pub admit_by: time::Instant,
     /// Endpoints that it could not be sent to.
     pub avoided: Vec<id::Endpoint>,
 }
@@ -34,7 +34,7 @@
             id: request,
             workspace: self.profile.workspace.clone(),
             share: self.share,
-            deadline: self.due,
+            deadline: self.admit_by,
             cost: self.work,
         }
     }
@@ -55,8 +55,8 @@
     pub started: Option<time::Instant>,
     /// Prompt tokens that the endpoint's cache is not known to hold.
     pub uncached: u64,
-    /// Tokens received since the last measurement of the speed.
-    pub received: u64,
-    /// Time of the last measurement of the speed.
-    pub measured: time::Instant,
+    /// Tokens received since the speed was last measured.
+    pub received_tokens: u64,
+    /// Time from which `received_tokens` counts.
+    pub measured_since: time::Instant,
 }
--- a/lib/src/health.rs
+++ b/lib/src/health.rs
@@ -25,7 +25,7 @@
 pub(crate) const DEATH_SPAN: Duration = Duration::from_secs(5);
 
 /// Shortest time over which the speed of a stream is measured.
-const SPEED_SPAN: Duration = Duration::from_millis(400);
+const MIN_SPEED_SPAN: Duration = Duration::from_millis(400);
 
 impl Scheduler {
     /// Applies the operators' configuration.
@@ -43,7 +43,7 @@
     }
 
     /// Replaces the table of endpoints by a new host list.
-    pub(crate) fn list(&mut self, now: time::Instant, records: Vec<Record>) {
+    pub(crate) fn replace_endpoints(&mut self, now: time::Instant, records: Vec<Record>) {
         let text = self.text.clone();
         let freed = self.fleet.replace(records, |service| {
             let text = text.as_ref();
@@ -58,7 +58,7 @@
     }
 
     /// Replaces the list of live nodes.
-    pub(crate) fn join(&mut self, members: Vec<(id::Node, id::DataCentre)>) {
+    pub(crate) fn set_members(&mut self, members: Vec<(id::Node, id::DataCentre)>) {
         self.members = members;
         self.share_windows();
     }
@@ -74,7 +74,7 @@
     }
 
     /// Records a load report of an endpoint.
-    pub(crate) fn report(&mut self, now: time::Instant, name: &id::Endpoint, load: Load) {
+    pub(crate) fn record_load(&mut self, now: time::Instant, name: &id::Endpoint, load: Load) {
         let Some(slot) = self.fleet.find(name) else {
             return;
         };
@@ -91,14 +91,14 @@
     }
 
     /// Records a change of an endpoint's prefix cache.
-    pub(crate) fn cache(&mut self, name: &id::Endpoint, cache: &Cache) {
+    pub(crate) fn record_cache_change(&mut self, name: &id::Endpoint, cache: &Cache) {
         if let Some(slot) = self.fleet.find(name) {
             self.prefixes.apply(slot, cache);
         }
     }
 
     /// Records the first byte of an answer.
-    pub(crate) fn start(&mut self, now: time::Instant, request: id::Request) {
+    pub(crate) fn record_first_byte(&mut self, now: time::Instant, request: id::Request) {
         let Some(flight) = self.flights.get_mut(&request) else {
             return;
         };
@@ -107,17 +107,19 @@
         }
         flight.started = Some(now);
         let took = now.since(flight.admitted);
-        flight.measured = now;
+        flight.measured_since = now;
         let (slot, uncached) = (flight.slot, flight.uncached);
         if let Some(member) = self.fleet.get_mut(slot) {
             member.pending -= uncached;
         }
         let profile = Arc::clone(&flight.waiting.profile);
-        self.lane(&profile).first.record(took.as_secs_f64());
+        self.lane(&profile)
+            .first_token_secs
+            .record(took.as_secs_f64());
     }
 
     /// Records further tokens of an answer and measures the stream's speed.
-    pub(crate) fn progress(
+    pub(crate) fn record_progress(
         &mut self,
         now: time::Instant,
         request: id::Request,
@@ -129,40 +131,45 @@
         if flight.waiting.kind == text::Kind::Plain {
             return;
         }
-        flight.received += more.0;
-        let span = now.since(flight.measured);
-        if span < SPEED_SPAN {
+        flight.received_tokens += more.0;
+        let span = now.since(flight.measured_since);
+        if span < MIN_SPEED_SPAN {
             return;
         }
         #[expect(clippy::cast_precision_loss, reason = "a rate")]
-        let rate = flight.received as f64 / span.as_secs_f64();
-        flight.measured = now;
-        flight.received = 0;
+        let rate = flight.received_tokens as f64 / span.as_secs_f64();
+        flight.measured_since = now;
+        flight.received_tokens = 0;
         if let Some(member) = self.fleet.get_mut(flight.slot) {
             member.window.record_speed(now, rate);
         }
     }
 
     /// Records the end of an admitted request.
-    pub(crate) fn end(&mut self, now: time::Instant, request: id::Request, outcome: Outcome) {
-        let Some(flight) = self.land(request) else {
+    pub(crate) fn record_end(
+        &mut self,
+        now: time::Instant,
+        request: id::Request,
+        outcome: Outcome,
+    ) {
+        let Some(flight) = self.remove_flight(request) else {
             return;
         };
         match outcome {
             Outcome::Answered { cached, output } => {
-                self.measure(now, &flight, cached);
-                self.answered(now, &flight, output);
+                self.record_first_token(now, &flight, cached);
+                self.record_answer(now, &flight, output);
             }
             Outcome::Cancelled => {}
-            Outcome::Rejected => self.rejected(now, flight.slot),
-            Outcome::Broken | Outcome::Stalled => self.broken(now, &flight),
+            Outcome::Rejected => self.record_rejection(now, flight.slot),
+            Outcome::Broken | Outcome::Stalled => self.record_break(now, &flight),
         }
         let service = &flight.waiting.profile.service;
         self.pump(now, service);
     }
 
     /// Records the result of a probe on a new connection.
-    pub(crate) fn probed(&mut self, now: time::Instant, name: &id::Endpoint, answered: bool) {
+    pub(crate) fn record_probe(&mut self, now: time::Instant, name: &id::Endpoint, answered: bool) {
         let Some(slot) = self.fleet.find(name) else {
             return;
         };
@@ -188,9 +195,9 @@
     pub(crate) fn tick(&mut self, now: time::Instant) {
         self.marks.expire(now);
         self.deaths.retain(|_, at| now.since(*at) <= DEATH_SPAN);
-        self.probe_due(now);
-        self.check_pending(now);
-        let services: Vec<id::Service> = self.pools.keys().cloned().collect();
+        self.probe_due_endpoints(now);
+        self.check_overdue_first_tokens(now);
+        let services: Vec<id::Service> = self.backlogs.keys().cloned().collect();
         for service in services {
             self.expire(now, &service);
             self.pump(now, &service);
@@ -198,7 +205,7 @@
     }
 
     /// Decreases the windows of endpoints whose first tokens are overdue.
-    fn check_pending(&mut self, now: time::Instant) {
+    fn check_overdue_first_tokens(&mut self, now: time::Instant) {
         for flight in self.flights.values() {
             if flight.started.is_some() {
                 continue;
@@ -219,12 +226,12 @@
         let member = self.fleet.get_mut(slot)?;
         member.avoided_until = now + AVOID_PERIOD;
         let name = member.record.id.clone();
-        self.check(now, slot);
+        self.request_probe(now, slot);
         Some(name)
     }
 
     /// Has an endpoint probed, unless it is dead or a probe is pending.
-    fn check(&mut self, now: time::Instant, slot: Slot) {
+    fn request_probe(&mut self, now: time::Instant, slot: Slot) {
         let Some(member) = self.fleet.get_mut(slot) else {
             return;
         };
@@ -237,7 +244,7 @@
     }
 
     /// Records the time to the first token of an answered request.
-    fn measure(&mut self, now: time::Instant, flight: &Flight, cached: size::Tokens) {
+    fn record_first_token(&mut self, now: time::Instant, flight: &Flight, cached: size::Tokens) {
         let Some(started) = flight.started else {
             return;
         };
@@ -250,7 +257,7 @@
     }
 
     /// Records the length and speed of a complete answer.
-    fn answered(&mut self, now: time::Instant, flight: &Flight, output: size::Tokens) {
+    fn record_answer(&mut self, now: time::Instant, flight: &Flight, output: size::Tokens) {
         let profile = &flight.waiting.profile;
         self.marks.answered(now, profile.fingerprint);
         let Some(started) = flight.started else {
@@ -261,16 +268,16 @@
         #[expect(clippy::cast_precision_loss, reason = "rates and ratios")]
         let (output, most) = (output.0 as f64, profile.output.0 as f64);
         if most > 0.0 {
-            lane.length.record((output / most).min(1.0));
+            lane.output_ratio.record((output / most).min(1.0));
         }
         if took > 0.0 && output > 1.0 {
-            lane.speed.record(output / took);
+            lane.tokens_per_sec.record(output / took);
         }
     }
 
     /// Decreases the window of an endpoint that rejected a request and avoids it
     /// for a while.
-    fn rejected(&mut self, now: time::Instant, slot: Slot) {
+    fn record_rejection(&mut self, now: time::Instant, slot: Slot) {
         let Some(member) = self.fleet.get_mut(slot) else {
             return;
         };
@@ -280,18 +287,18 @@
 
     /// Marks a request whose connection broke or stalled and has its endpoint
     /// probed.
-    fn broken(&mut self, now: time::Instant, flight: &Flight) {
+    fn record_break(&mut self, now: time::Instant, flight: &Flight) {
         let fingerprint = flight.waiting.profile.fingerprint;
         if let Some(member) = self.fleet.get_mut(flight.slot) {
             member.broken.insert(fingerprint);
         }
         let mark = self.marks.record_break(now, fingerprint);
         self.effects.push(Effect::Quarantine(mark));
-        self.check(now, flight.slot);
+        self.request_probe(now, flight.slot);
     }
 
     /// Probes dead endpoints and those whose pending probe timed out.
-    fn probe_due(&mut self, now: time::Instant) {
+    fn probe_due_endpoints(&mut self, now: time::Instant) {
         for slot in self.fleet.slots() {
             let Some(member) = self.fleet.get_mut(slot) else {
                 continue;
@@ -314,7 +321,7 @@
     }
 
     fn pump_all(&mut self, now: time::Instant) {
-        let services: Vec<id::Service> = self.pools.keys().cloned().collect();
+        let services: Vec<id::Service> = self.backlogs.keys().cloned().collect();
         for service in services {
             self.pump(now, &service);
         }
--- a/lib/src/pool.rs
+++ b/lib/src/pool.rs
@@ -18,22 +18,22 @@
     /// The waiting requests.
     pub queue: Queue,
     /// Rate of tokens admitted while requests waited.
-    drain: Meter,
+    backlogged_admissions: Meter,
     /// Rate of all tokens admitted.
-    admitted: Meter,
+    admissions: Meter,
     /// Rate of arriving tokens, by tier.
     arrivals: BTreeMap<id::Tier, Meter>,
     /// Average time to the first token in seconds.
-    pub first: Average,
+    pub first_token_secs: Average,
     /// Average tokens per second of a stream.
-    pub speed: Average,
+    pub tokens_per_sec: Average,
     /// Average of the tokens generated, relative to the most asked for.
-    pub length: Average,
+    pub output_ratio: Average,
 }
 
 impl Lane {
     /// Records the cost of an arriving request in tokens.
-    pub fn arrived(&mut self, now: time::Instant, tier: id::Tier, cost: u64) {
+    pub fn record_arrival(&mut self, now: time::Instant, tier: id::Tier, cost: u64) {
         let meter = self.arrivals.entry(tier).or_default();
         meter.record(now, cost, true);
     }
@@ -41,36 +41,41 @@
     /// Records the tokens admitted, and whether requests waited since the last
     /// call. It must be called at every change of the queue, with a cost of zero
     /// if nothing was admitted.
-    pub fn drained(&mut self, now: time::Instant, cost: u64, waited: bool) {
-        self.drain.record(now, cost, waited);
-        self.admitted.record(now, cost, true);
+    pub fn record_admission(&mut self, now: time::Instant, cost: u64, waited: bool) {
+        self.backlogged_admissions.record(now, cost, waited);
+        self.admissions.record(now, cost, true);
     }
 
     /// Returns the estimated wait of a new request, if the rates are known.
     #[must_use]
-    pub fn wait(&self, tier: id::Tier, workspace: &id::Workspace, share: u32) -> Option<Duration> {
-        let ahead = self.queue.tokens_ahead(tier, workspace, share);
-        let mut above = 0.0;
+    pub fn estimated_wait(
+        &self,
+        tier: id::Tier,
+        workspace: &id::Workspace,
+        share: u32,
+    ) -> Option<Duration> {
+        let tokens_ahead = self.queue.tokens_ahead(tier, workspace, share);
+        let mut arrivals_above = 0.0;
         for (_, meter) in self.arrivals.range(..tier) {
-            above += meter.rate().unwrap_or(0.0);
+            arrivals_above += meter.rate().unwrap_or(0.0);
         }
-        let drain = self.drain.rate().map(|rate| {
-            let admitted = self.admitted.rate().unwrap_or(0.0);
+        let drain_rate = self.backlogged_admissions.rate().map(|rate| {
+            let admitted = self.admissions.rate().unwrap_or(0.0);
             rate.max(admitted)
         });
-        estimate::wait(ahead, drain, above)
+        estimate::wait(tokens_ahead, drain_rate, arrivals_above)
     }
 
     /// Returns the time to serve an answer of this many tokens; zero if unknown.
     #[must_use]
-    pub fn service(&self, output: u64) -> Duration {
-        let first = self.first.get().unwrap_or(0.0);
-        let Some(speed) = self.speed.get().filter(|speed| *speed > 0.0) else {
-            return Duration::from_secs_f64(first);
+    pub fn service_time(&self, output: u64) -> Duration {
+        let first_token_secs = self.first_token_secs.get().unwrap_or(0.0);
+        let Some(tokens_per_sec) = self.tokens_per_sec.get().filter(|rate| *rate > 0.0) else {
+            return Duration::from_secs_f64(first_token_secs);
         };
         #[expect(clippy::cast_precision_loss, reason = "an estimate")]
         let output = output as f64;
-        Duration::from_secs_f64((first + output / speed).min(3600.0))
+        Duration::from_secs_f64((first_token_secs + output / tokens_per_sec).min(3600.0))
     }
 
     /// Returns the expected tokens of an answer that may have `output` tokens.
@@ -81,20 +86,20 @@
         clippy::cast_precision_loss,
         reason = "an estimate between zero and the most asked for"
     )]
-    pub fn expected(&self, output: u64) -> u64 {
-        let length = self.length.get().unwrap_or(1.0).clamp(0.0, 1.0);
-        (output as f64 * length) as u64
+    pub fn expected_output(&self, output: u64) -> u64 {
+        let output_ratio = self.output_ratio.get().unwrap_or(1.0).clamp(0.0, 1.0);
+        (output as f64 * output_ratio) as u64
     }
 }
 
 /// The lanes of one service, by model.
 #[derive(Clone, Debug, Default)]
-pub struct Pool {
+pub struct Backlog {
     /// The lanes by model; `None` for requests that name no model.
     pub lanes: BTreeMap<Option<id::Model>, Lane>,
 }
 
-impl Pool {
+impl Backlog {
     /// Returns the number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
