--- a/lib/tests/test_admission.rs
+++ b/lib/tests/test_admission.rs
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn leaving_endpoint_gets_nothing_new() {
+fn leaving_endpoint_gets_no_new_request() {
     let mut core = core(Policy::TwoChoices, 100_000, 2);
     let mut leaving = record("e0", "llm");
     leaving.standing = Standing::Leaving;
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn endpoint_that_says_it_leaves_gets_nothing_new() {
+fn endpoint_that_reports_leaving_gets_no_new_request() {
     let mut core = core(Policy::TwoChoices, 100_000, 2);
     let mut leaving = load(0);
     leaving.standing = Standing::Leaving;
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn draining_node_lets_nothing_new_wait() {
+fn draining_node_queues_no_new_request() {
     let mut core = core(Policy::TwoChoices, 1000, 1);
     core.handle(at(0), Event::Draining);
     assert!(admitted(&arrive(&mut core, 0, 1, profile(0, 900, 100)), 1).is_some());
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -17,7 +17,7 @@
 };
 use support::{admitted, arrive, at, core, profile, refused};
 
-fn print(tier: u8, fingerprint: u64) -> Profile {
+fn with_fingerprint(tier: u8, fingerprint: u64) -> Profile {
     Profile {
         fingerprint: Fingerprint(fingerprint),
         ..profile(tier, 100, 100)
@@ -26,7 +26,12 @@
 
 /// Breaks these requests and reports their endpoint dead; returns the marks that
 /// the death adds.
-fn die(core: &mut Scheduler, now: u64, endpoint: &str, requests: &[u64]) -> Vec<Fingerprint> {
+fn kill_endpoint(
+    core: &mut Scheduler,
+    now: u64,
+    endpoint: &str,
+    requests: &[u64],
+) -> Vec<Fingerprint> {
     for request in requests {
         core.handle(at(now), Event::Ended(Request(*request), Outcome::Broken));
     }
@@ -47,7 +52,7 @@
     core.handle(at(now), Event::Ended(Request(request), outcome))
 }
 
-fn tell(core: &mut Scheduler, now: u64, marks: &[Fingerprint]) {
+fn share_marks(core: &mut Scheduler, now: u64, marks: &[Fingerprint]) {
     let marks = marks.iter().map(|mark| (*mark, MARK_TTL)).collect();
     core.handle(at(now), Event::Suspected(marks));
 }
@@ -55,13 +60,13 @@
 #[test]
 fn second_death_confirms() {
     let mut marks = Marks::default();
-    let guilty = Fingerprint(7);
-    marks.death(at(0), guilty, &"e0".into());
-    assert_eq!(marks.verdict(at(1), guilty), Verdict::Suspect);
-    marks.death(at(2), guilty, &"e1".into());
-    assert_eq!(marks.verdict(at(3), guilty), Verdict::Confirmed);
+    let crashing = Fingerprint(7);
+    marks.death(at(0), crashing, &"e0".into());
+    assert_eq!(marks.verdict(at(1), crashing), Verdict::Suspect);
+    marks.death(at(2), crashing, &"e1".into());
+    assert_eq!(marks.verdict(at(3), crashing), Verdict::Confirmed);
     let later = at(4) + MARK_TTL;
-    assert_eq!(marks.verdict(later, guilty), Verdict::Clear);
+    assert_eq!(marks.verdict(later, crashing), Verdict::Clear);
 }
 
 #[test]
@@ -78,38 +83,38 @@
 fn crashing_request_is_refused_at_every_node_after_two_deaths() {
     let mut one = core(Policy::TwoChoices, 10_000, 4);
     let mut two = core(Policy::TwoChoices, 10_000, 4);
-    let first = admitted(&arrive(&mut one, 0, 1, print(0, 7)), 1).expect("admitted");
-    let marks = die(&mut one, 10, first.as_str(), &[1]);
+    let first = admitted(&arrive(&mut one, 0, 1, with_fingerprint(0, 7)), 1).expect("admitted");
+    let marks = kill_endpoint(&mut one, 10, first.as_str(), &[1]);
     assert!(!marks.is_empty());
-    tell(&mut two, 20, &marks);
+    share_marks(&mut two, 20, &marks);
     two.handle(at(20), Event::Probed(first.clone(), false));
-    let second =
-        admitted(&arrive(&mut two, 6000, 1, print(0, 7)), 1).expect("a suspect runs once more");
+    let second = admitted(&arrive(&mut two, 6000, 1, with_fingerprint(0, 7)), 1)
+        .expect("a suspect runs once more");
     assert_ne!(first, second);
-    let marks = die(&mut two, 6010, second.as_str(), &[1]);
-    let effects = arrive(&mut two, 6020, 2, print(0, 7));
+    let marks = kill_endpoint(&mut two, 6010, second.as_str(), &[1]);
+    let effects = arrive(&mut two, 6020, 2, with_fingerprint(0, 7));
     assert_eq!(refused(&effects, 2).expect("refused").0, Reason::Quarantine);
-    tell(&mut one, 6030, &marks);
-    let effects = arrive(&mut one, 6040, 2, print(0, 7));
+    share_marks(&mut one, 6030, &marks);
+    let effects = arrive(&mut one, 6040, 2, with_fingerprint(0, 7));
     assert_eq!(refused(&effects, 2).expect("refused").0, Reason::Quarantine);
 }
 
 #[test]
-fn innocent_request_beside_a_crash_is_served_when_it_comes_again() {
+fn harmless_request_beside_a_crash_is_served_when_sent_again() {
     let mut core = core(Policy::TwoChoices, 10_000, 1);
-    arrive(&mut core, 0, 1, print(0, 7));
-    arrive(&mut core, 0, 2, print(0, 8));
-    die(&mut core, 10, "e0", &[1, 2]);
+    arrive(&mut core, 0, 1, with_fingerprint(0, 7));
+    arrive(&mut core, 0, 2, with_fingerprint(0, 8));
+    kill_endpoint(&mut core, 10, "e0", &[1, 2]);
     core.handle(at(1000), Event::Probed("e0".into(), true));
-    assert!(admitted(&arrive(&mut core, 2000, 3, print(0, 8)), 3).is_some());
+    assert!(admitted(&arrive(&mut core, 2000, 3, with_fingerprint(0, 8)), 3).is_some());
     assert!(
-        arrive(&mut core, 2001, 4, print(0, 9)).is_empty(),
+        arrive(&mut core, 2001, 4, with_fingerprint(0, 9)).is_empty(),
         "a suspect runs alone"
     );
     let effects = answer(&mut core, 2100, 3);
     assert!(admitted(&effects, 4).is_some());
     assert!(
-        admitted(&arrive(&mut core, 2200, 5, print(0, 8)), 5).is_some(),
+        admitted(&arrive(&mut core, 2200, 5, with_fingerprint(0, 8)), 5).is_some(),
         "an answered suspect is cleared"
     );
 }
@@ -117,22 +122,22 @@
 #[test]
 fn suspect_waits_for_an_empty_endpoint_without_blocking_others() {
     let mut core = core(Policy::TwoChoices, 10_000, 3);
-    let dead = admitted(&arrive(&mut core, 0, 1, print(0, 7)), 1).expect("admitted");
-    die(&mut core, 10, dead.as_str(), &[1]);
+    let dead = admitted(&arrive(&mut core, 0, 1, with_fingerprint(0, 7)), 1).expect("admitted");
+    kill_endpoint(&mut core, 10, dead.as_str(), &[1]);
     for request in 10..30 {
         assert!(
             admitted(
-                &arrive(&mut core, 20, request, print(0, 100 + request)),
+                &arrive(&mut core, 20, request, with_fingerprint(0, 100 + request)),
                 request
             )
             .is_some()
         );
     }
-    assert!(arrive(&mut core, 30, 40, print(0, 7)).is_empty());
+    assert!(arrive(&mut core, 30, 40, with_fingerprint(0, 7)).is_empty());
     for request in 50..60 {
         assert!(
             admitted(
-                &arrive(&mut core, 40, request, print(0, 100 + request)),
+                &arrive(&mut core, 40, request, with_fingerprint(0, 100 + request)),
                 request
             )
             .is_some()
@@ -146,7 +151,7 @@
 }
 
 #[test]
-fn many_deaths_at_once_speak_against_the_network() {
+fn many_deaths_at_once_are_ascribed_to_the_network() {
     let mut core = core(Policy::TwoChoices, 10_000, 6);
     let mut marks = Vec::new();
     for number in 0..6 {
@@ -155,7 +160,7 @@
     }
     let mut running = Vec::new();
     for request in 0..30 {
-        let effects = arrive(&mut core, 0, request, print(0, 100 + request));
+        let effects = arrive(&mut core, 0, request, with_fingerprint(0, 100 + request));
         running.push((admitted(&effects, request).expect("admitted"), request));
     }
     for number in 0..6 {
@@ -165,7 +170,7 @@
             .filter(|(endpoint, _)| endpoint.as_str() == name)
             .map(|(_, request)| *request)
             .collect();
-        marks.push(die(&mut core, 10, &name, &here).len());
+        marks.push(kill_endpoint(&mut core, 10, &name, &here).len());
     }
     assert_eq!(marks[2..].iter().sum::<usize>(), 0, "{marks:?}");
 }
@@ -174,23 +179,23 @@
 /// confirms it. The second node had admitted the request before it learnt of
 /// the first death.
 #[test]
-fn suspect_waits_for_news_and_is_refused_on_its_arrival() {
+fn waiting_suspect_is_refused_once_confirmed() {
     let mut one = core(Policy::TwoChoices, 10_000, 4);
     let mut two = core(Policy::TwoChoices, 10_000, 4);
     let sent = |now: u64| Profile {
         received: at(now),
-        ..print(0, 7)
+        ..with_fingerprint(0, 7)
     };
     let first = admitted(&arrive(&mut one, 0, 1, sent(0)), 1).expect("admitted");
     two.handle(at(0), Event::Probed(first.clone(), false));
     let second = admitted(&arrive(&mut two, 1, 1, sent(1)), 1).expect("admitted");
     assert_ne!(first, second);
-    let marks = die(&mut one, 10, first.as_str(), &[1]);
+    let marks = kill_endpoint(&mut one, 10, first.as_str(), &[1]);
     let effects = arrive(&mut one, 11, 2, sent(11));
     assert!(effects.is_empty(), "{effects:?}");
     assert!(one.handle(at(200), Event::Tick).is_empty());
-    tell(&mut two, 200, &marks);
-    let marks = die(&mut two, 210, second.as_str(), &[1]);
+    share_marks(&mut two, 200, &marks);
+    let marks = kill_endpoint(&mut two, 210, second.as_str(), &[1]);
     let marks = marks.iter().map(|mark| (*mark, MARK_TTL)).collect();
     let effects = one.handle(at(220), Event::Suspected(marks));
     assert_eq!(refused(&effects, 2).expect("refused").0, Reason::Quarantine);
@@ -200,11 +205,11 @@
 #[test]
 fn suspect_runs_after_the_wait() {
     let mut core = core(Policy::TwoChoices, 10_000, 4);
-    let first = admitted(&arrive(&mut core, 0, 1, print(0, 7)), 1).expect("admitted");
-    die(&mut core, 10, first.as_str(), &[1]);
+    let first = admitted(&arrive(&mut core, 0, 1, with_fingerprint(0, 7)), 1).expect("admitted");
+    kill_endpoint(&mut core, 10, first.as_str(), &[1]);
     let again = Profile {
         received: at(20),
-        ..print(0, 7)
+        ..with_fingerprint(0, 7)
     };
     assert!(arrive(&mut core, 20, 2, again).is_empty());
     let mut place = None;
--- a/lib/tests/test_report.rs
+++ b/lib/tests/test_report.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn an_endpoint_tells_why_it_gets_no_work() {
+fn endpoint_state_says_why_it_gets_no_work() {
     let mut core = core(Policy::TwoChoices, 1000, 3);
     assert_eq!(states(&core, 0), [State::Open; 3]);
     let leaving = Load {
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_service_names_what_it_lacks() {
+fn service_lists_dependencies_without_endpoint() {
     let mut core = core(Policy::TwoChoices, 1000, 1);
     let mut depending = Arc::unwrap_or_clone(text(1000));
     let service = depending.services.get_mut(&id::Service::from("llm"));
--- a/lib/tests/test_runs.rs
+++ b/lib/tests/test_runs.rs
@@ -32,7 +32,7 @@
 enum State {
     Waiting,
     Running,
-    Over,
+    Ended,
 }
 
 struct Run {
@@ -68,7 +68,7 @@
 
     /// Hands an event to the core, updates the expected states from the effects
     /// and compares them with the core's counts.
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let effects = self.core.handle(at(self.now), event);
         let mut probes = Vec::new();
         for effect in effects {
@@ -80,12 +80,12 @@
                     self.admissions += 1;
                 }
                 Effect::Refuse(request, refusal) => {
-                    let state = self.states.insert(request.0, State::Over);
+                    let state = self.states.insert(request.0, State::Ended);
                     assert_eq!(state, Some(State::Waiting), "request {request}");
                     assert!(!refusal.retry_after.is_zero());
                     self.refusals += 1;
                     if refusal.reason == Reason::Overload {
-                        self.overloaded(request.0);
+                        self.check_overload(request.0);
                     }
                 }
                 Effect::Probe(endpoint) => probes.push(endpoint),
@@ -99,14 +99,14 @@
             let answered = self.rng.random_bool(0.7);
             if self.rng.random_bool(0.9) {
                 self.now += 1;
-                self.tell(Event::Probed(endpoint, answered));
+                self.handle(Event::Probed(endpoint, answered));
             }
         }
     }
 
     /// Checks that no request of a lower tier waits when a request is refused
     /// for overload.
-    fn overloaded(&self, request: u64) {
+    fn check_overload(&self, request: u64) {
         for (other, state) in &self.states {
             let lower = self.tiers[other] > self.tiers[&request];
             assert!(
@@ -141,7 +141,7 @@
         };
         self.states.insert(request, State::Waiting);
         self.tiers.insert(request, tier);
-        self.tell(Event::Arrived(id::Request(request), Arc::new(wanted)));
+        self.handle(Event::Arrived(id::Request(request), Arc::new(wanted)));
     }
 
     fn end(&mut self, request: u64) {
@@ -159,8 +159,8 @@
             Outcome::Stalled,
         ];
         let outcome = outcomes[self.rng.random_range(0..outcomes.len())];
-        self.states.insert(request, State::Over);
-        self.tell(Event::Ended(id::Request(request), outcome));
+        self.states.insert(request, State::Ended);
+        self.handle(Event::Ended(id::Request(request), outcome));
     }
 
     fn list(&mut self) {
@@ -178,7 +178,7 @@
             }
             records.push(listed);
         }
-        self.tell(Event::Listed(records));
+        self.handle(Event::Listed(records));
     }
 
     fn step(&mut self, number: u64) {
@@ -195,45 +195,45 @@
             60..65 => {
                 if let Some(request) = self.pick(State::Running) {
                     self.states.insert(request, State::Waiting);
-                    self.tell(Event::Unsent(id::Request(request)));
+                    self.handle(Event::Unsent(id::Request(request)));
                 }
             }
             65..70 => {
                 if let Some(request) = self.pick(State::Waiting) {
-                    self.states.insert(request, State::Over);
-                    self.tell(Event::Withdrawn(id::Request(request)));
+                    self.states.insert(request, State::Ended);
+                    self.handle(Event::Withdrawn(id::Request(request)));
                 }
             }
-            70..76 => self.tell(Event::Started(any)),
-            76..82 => self.tell(Event::Progressed(any, Tokens(20))),
+            70..76 => self.handle(Event::Started(any)),
+            76..82 => self.handle(Event::Progressed(any, Tokens(20))),
             82..86 => {
                 let reported = load(self.rng.random_range(0..5000));
-                self.tell(Event::Reported(endpoint, reported));
+                self.handle(Event::Reported(endpoint, reported));
             }
             86..89 => {
                 let sequence = self.rng.random_range(0..50);
                 let change = Change::Stored(id::Prefix(self.rng.random_range(0..6)));
-                self.tell(Event::Cached(endpoint, Cache { sequence, change }));
+                self.handle(Event::Cached(endpoint, Cache { sequence, change }));
             }
             89..91 => self.list(),
             91 => {
                 let mark = id::Fingerprint(self.rng.random_range(0..400));
-                self.tell(Event::Suspected(vec![(mark, Duration::from_secs(5))]));
+                self.handle(Event::Suspected(vec![(mark, Duration::from_secs(5))]));
             }
-            92 => self.tell(Event::Probed(endpoint, true)),
+            92 => self.handle(Event::Probed(endpoint, true)),
             93 => self.repeat_end(any.0),
-            _ => self.tell(Event::Tick),
+            _ => self.handle(Event::Tick),
         }
     }
 
     /// Repeats the end of a request that is already over, which must change
     /// nothing.
     fn repeat_end(&mut self, request: u64) {
-        if self.states.get(&request) == Some(&State::Over) {
+        if self.states.get(&request) == Some(&State::Ended) {
             let ended = Event::Ended(id::Request(request), Outcome::Broken);
-            self.tell(ended);
-            self.tell(Event::Unsent(id::Request(request)));
-            self.tell(Event::Withdrawn(id::Request(request)));
+            self.handle(ended);
+            self.handle(Event::Unsent(id::Request(request)));
+            self.handle(Event::Withdrawn(id::Request(request)));
         }
     }
 }
@@ -243,7 +243,7 @@
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)] seed: u64,
 ) {
     let mut run = Run::new(seed);
-    run.tell(Event::Configured(text(4000)));
+    run.handle(Event::Configured(text(4000)));
     run.list();
     for number in 0..EVENTS {
         run.step(number);
@@ -251,7 +251,7 @@
     assert!(run.admissions > 100, "{} admissions", run.admissions);
     assert!(run.refusals > 100, "{} refusals", run.refusals);
     run.now += 60_000;
-    run.tell(Event::Tick);
+    run.handle(Event::Tick);
     assert_eq!(
         run.core.waiting(),
         0,
