--- a/lib/src/gate.rs
+++ b/lib/src/gate.rs
@@ -1,13 +1,14 @@
-//! The gate before the endpoints: which request goes where, and when.
+//! Admission control and endpoint selection for one node.
 //!
-//! Engines admit in order of arrival and know no priorities, so requests wait
-//! here and an endpoint gets no more than it runs at once. A request that can
-//! still be on time goes before one that is late; among equals the tier
-//! decides, then the time that is left.
+//! Engines run requests in order of arrival and have no notion of priority.
+//! Requests therefore queue in the gate, and an endpoint gets only as many as
+//! it can run at once. Requests that can still meet their first-byte deadline
+//! go before late ones; within each group they are ordered by tier, then class,
+//! then the time left.
 
-mod learn;
-mod line;
 mod member;
+mod model;
+mod queue;
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -17,8 +18,8 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 use self::{
-    line::{Lane, Line},
     member::Member,
+    queue::{Lane, Queue},
 };
 use crate::{
     endpoint::{self, Standing},
@@ -27,131 +28,135 @@
     time,
 };
 
-/// Requests that may wait for one service at one node.
-const MAX_WAITING: usize = 2000;
+/// Maximum number of requests queued for one service at one node.
+const MAX_QUEUED_REQUESTS: usize = 2000;
 
-/// Waiting requests that are looked at for one free place.
-const LOOK_AHEAD: usize = 16;
+/// Maximum number of queued requests considered for each free slot.
+const MAX_LOOKAHEAD: usize = 16;
 
-/// Time that an answer takes on the way between data centres and in the node,
-/// taken off the time that an endpoint has.
-const MARGIN: Duration = Duration::from_millis(15);
+/// Time reserved for network transit between data centres and processing in the
+/// node, subtracted from the time that an endpoint has to answer.
+const TRANSIT_MARGIN: Duration = Duration::from_millis(15);
 
-/// Time by which an endpoint of another data centre must be faster.
-const DISTANCE: f64 = 0.07;
+/// Cost of an endpoint in another data centre, in seconds.
+const REMOTE_COST_SECS: f64 = 0.07;
 
-/// Random time added to each estimate, so that nodes that know the same do not
-/// all choose the same endpoint, seconds.
-const JITTER: f64 = 0.006;
+/// Upper bound of the random cost added to each endpoint, in seconds. It keeps
+/// nodes with the same information from all choosing the same endpoint.
+const MAX_JITTER_SECS: f64 = 0.006;
 
-/// Weight of an endpoint's whole time on a request against the time to its
-/// first byte.
-const DURATION_WEIGHT: f64 = 0.1;
+/// Weight of the expected streaming time, relative to the time to first byte.
+const STREAM_TIME_WEIGHT: f64 = 0.1;
 
-/// Time that a stream counts for which would pause for too long, seconds.
-const DISTURBANCE: f64 = 0.15;
+/// Cost of each running stream that would pause for longer than allowed, in
+/// seconds.
+const STALL_COST_SECS: f64 = 0.15;
 
-/// Part of the longest pause from which on a stream may be late.
-const DISTURBANCE_FROM: f64 = 0.7;
+/// Fraction of the allowed pause above which a stream's expected pause adds to
+/// the cost.
+const STALL_THRESHOLD: f64 = 0.7;
 
-/// Time that the last place of an endpoint of mean speed counts for, so that
-/// the places of fast endpoints are kept for work that needs them, seconds.
-const RESERVE: f64 = 0.05;
+/// Cost of the last free slot of an endpoint of mean speed, in seconds. It
+/// grows with speed, to keep slots of fast endpoints free for requests that
+/// need them.
+const OCCUPANCY_COST_SECS: f64 = 0.05;
 
-/// Time between two ends at a full endpoint up to which it gets one request in
-/// advance, seconds: the news of an end and the next request take 10 ms between
-/// data centres, and more would hold up urgent work (`test_gate`).
-const NEXT_PLACE: f64 = 0.06;
+/// Longest mean time between two completions, in seconds, at which a full
+/// endpoint gets one request in advance. It covers the 10 ms that news of a
+/// completion and the next request take between data centres; a larger value
+/// would delay urgent requests (see `test_gate`).
+const MAX_COMPLETION_GAP_SECS: f64 = 0.06;
 
-/// Time that an answer counts for which would not be whole by its deadline,
-/// seconds.
-const UNFINISHED: f64 = 2.0;
+/// Cost of an answer that would not be complete by its deadline, in seconds.
+const INCOMPLETE_COST_SECS: f64 = 2.0;
 
-/// Time that a likely failure counts for, seconds.
-const FAILURE_COST: f64 = 1.5;
+/// Cost of a certain failure, in seconds; scaled by the recent failure rate.
+const FAILURE_COST_SECS: f64 = 1.5;
 
-/// Shortest and longest time to come back after a refusal.
-const RETRY: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(4));
+/// Minimum and maximum `retry_after` of a refusal, before random spread.
+const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(4));
 
-/// Time that a backlog needs to go down which kept a request to the end.
-const BACKLOG: Duration = Duration::from_secs(2);
+/// Assumed time until the backlog has drained, for a request that was queued
+/// until it could no longer be served.
+const BACKLOG_DRAIN_TIME: Duration = Duration::from_secs(2);
 
-/// Part of its remaining time after which a caller can come back and still be
-/// served.
-const COMEBACK_PART: u32 = 3;
+/// Divisor of a request's remaining time that yields the latest `retry_after`
+/// with which a retry can still be served.
+const RETRY_DIVISOR: u32 = 3;
 
-/// What a gate needs to know of its own node.
+/// Settings of a gate.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
     /// The node's data centre.
     pub data_centre: id::DataCentre,
-    /// Seed of every random choice.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// A request as the gate sees it.
+/// What the gate needs to know about a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ask {
-    /// The service that must serve it.
+    /// The service that it is for.
     pub service: id::Service,
     /// Its tier.
     pub tier: id::Tier,
-    /// Its rank among requests of the same tier.
+    /// Its priority among requests of the same tier.
     pub class: id::Tier,
-    /// Tokens of its prompt; none for a plain service.
+    /// Prompt tokens; zero for a service that is not a model engine.
     pub prompt: u64,
-    /// Tokens of its answer, as far as they can be expected.
+    /// Expected tokens of its answer.
     pub output: u64,
-    /// Longest pause between two events that is on time.
+    /// Longest allowed pause between two events of its stream.
     pub pause: Option<Duration>,
-    /// When its first byte is on time.
+    /// Latest time at which its first byte counts as on time.
     pub due: time::Instant,
-    /// When its caller leaves without a first byte.
+    /// Time at which the caller gives up if no byte has arrived.
     pub first_by: time::Instant,
-    /// When its answer is of no more use.
+    /// Time by which the answer must be complete.
     pub deadline: time::Instant,
-    /// Endpoints that it was already sent to.
+    /// Endpoints that it was already sent to and must not be sent to again.
     pub avoid: Vec<id::Endpoint>,
 }
 
-/// How the events of an answer came.
+/// Timing of the events in a completed answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Flow {
     /// Number of events.
     pub events: u64,
-    /// Longest pause between two of them.
+    /// Longest pause between two events.
     pub pause: Duration,
 }
 
 /// How a request at an endpoint ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer came.
+    /// The answer arrived completely.
     Answered(Flow),
-    /// The caller left or the time was over.
+    /// The caller left or the request timed out.
     Cancelled,
-    /// The endpoint answered with an error of its own.
+    /// The endpoint answered with an error.
     Failed,
-    /// The endpoint said that it did not run it.
+    /// The endpoint rejected the request without running it.
     Rejected,
-    /// Another endpoint has its address.
+    /// The address now belongs to another endpoint.
     Misdirected,
-    /// The endpoint could not be reached.
+    /// The connection to the endpoint could not be established.
     Unreachable,
-    /// The connection broke or nothing came in time.
+    /// The connection broke, or no data arrived in time.
     Broken,
 }
 
-/// What has to be done about a request.
+/// An action that the caller of the gate must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send it to this endpoint.
+    /// Send the request to the chosen endpoint.
     Send(id::Request, Choice),
-    /// Refuse it.
+    /// Refuse the request.
     Refuse(id::Request, Refusal),
 }
 
-/// An endpoint that was chosen, with what the choice was based on.
+/// The endpoint chosen for a request, with the figures that the choice was
+/// based on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
     /// The endpoint.
@@ -160,47 +165,47 @@
     pub address: String,
     /// Its data centre.
     pub data_centre: id::DataCentre,
-    /// Requests of this node there, this one included.
+    /// Requests of this node at the endpoint, including this one.
     pub own: u32,
-    /// Requests of other nodes there, as they last said.
+    /// Requests of other nodes at the endpoint, by their last reports.
     pub others: u32,
-    /// Places of the endpoint.
+    /// Requests that the endpoint runs at once.
     pub places: u32,
     /// Expected time to the first byte.
     pub first: Duration,
-    /// Requests that wait at this node for the same service.
+    /// Requests queued at this node for the same service.
     pub waiting: usize,
 }
 
-/// Requests that one node has at one endpoint, as it tells the others.
+/// Load of one node on one endpoint, as reported to the other nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Held {
     /// Requests in flight.
     pub requests: u32,
-    /// Prompt tokens without a first byte yet.
+    /// Prompt tokens of requests still waiting for their first byte.
     pub pending: u64,
-    /// Mean time between two events of the streams that ended since this was
-    /// last told.
+    /// Mean time between two events, over the streams that ended since the last
+    /// report.
     pub pace: Option<Duration>,
 }
 
-/// A request that was sent.
+/// A request in flight at an endpoint.
 #[derive(Clone, Debug)]
 struct Flight {
     ask: Ask,
     endpoint: id::Endpoint,
     sent: time::Instant,
     first: Option<time::Instant>,
-    /// Whether another node decided on it and counts it.
+    /// Whether another node placed the request and reports it as its own load.
     delegated: bool,
 }
 
-/// The gate of one node.
+/// Queues a node's requests and decides which endpoint each is sent to.
 #[derive(Debug)]
 pub struct Gate {
     settings: Settings,
     members: BTreeMap<id::Endpoint, Member>,
-    services: BTreeMap<id::Service, Line>,
+    queues: BTreeMap<id::Service, Queue>,
     flights: HashMap<id::Request, Flight>,
     peers: HashMap<id::Node, HashMap<id::Endpoint, Held>>,
     nodes: usize,
@@ -209,14 +214,14 @@
 }
 
 impl Gate {
-    /// Builds a gate that knows no endpoint.
+    /// Creates a gate without endpoints.
     #[must_use]
     pub fn new(settings: Settings) -> Self {
         Self {
             rng: SmallRng::seed_from_u64(settings.seed),
             settings,
             members: BTreeMap::new(),
-            services: BTreeMap::new(),
+            queues: BTreeMap::new(),
             flights: HashMap::new(),
             peers: HashMap::new(),
             nodes: 1,
@@ -224,7 +229,8 @@
         }
     }
 
-    /// Takes over the endpoints; those left out get nothing more.
+    /// Replaces the list of endpoints. Endpoints that are no longer listed get
+    /// no new requests and are dropped once their requests have ended.
     pub fn list(&mut self, now: time::Instant, records: Vec<endpoint::Record>) -> Vec<Effect> {
         for member in self.members.values_mut() {
             member.listed = false;
@@ -238,19 +244,20 @@
         }
         self.members
             .retain(|_, member| member.listed || member.own > 0);
-        self.index();
-        self.pump_all(now);
+        self.group_by_service();
+        self.dispatch_all(now);
         std::mem::take(&mut self.effects)
     }
 
-    /// Takes over which other nodes there are.
+    /// Sets the other nodes of the cluster and divides the endpoints among all
+    /// of them.
     pub fn join(&mut self, nodes: &[id::Node]) {
         self.share(nodes.len() + 1);
         self.peers.retain(|node, _| nodes.contains(node));
-        self.count_others();
+        self.sum_peer_loads();
     }
 
-    /// Takes over what another node holds.
+    /// Replaces the load reported by another node.
     pub fn hear(
         &mut self,
         now: time::Instant,
@@ -263,73 +270,75 @@
             }
         }
         self.peers.insert(node.clone(), held);
-        self.compare();
-        self.count_others();
-        self.pump_all(now);
+        self.update_mean_paces();
+        self.sum_peer_loads();
+        self.dispatch_all(now);
         std::mem::take(&mut self.effects)
     }
 
-    /// Forgets what a node held that is not heard any more.
+    /// Drops the reported load of a node whose reports have stopped.
     pub fn miss(&mut self, node: &id::Node) {
         if self.peers.remove(node).is_some() {
-            self.count_others();
+            self.sum_peer_loads();
         }
     }
 
-    /// Returns what this node tells the others from here on.
+    /// Returns this node's load for the next report to the other nodes and
+    /// starts a new interval for the mean pace.
     pub fn held(&mut self) -> Vec<(id::Endpoint, Held)> {
-        let mut told = Vec::new();
+        let mut loads = Vec::new();
         for member in self.members.values_mut() {
-            let held = member.held();
+            let held = member.take_load();
             if held != Held::default() {
-                told.push((member.record.id.clone(), held));
+                loads.push((member.record.id.clone(), held));
             }
         }
-        told
+        loads
     }
 
-    /// Takes a request in.
+    /// Queues a request, or refuses it if it can't be served in time.
     pub fn arrive(&mut self, now: time::Instant, request: id::Request, ask: Ask) -> Vec<Effect> {
-        let Some(line) = self.services.get_mut(&ask.service) else {
-            self.refuse(request, refusal::Reason::NoEndpoint, RETRY.0 * 2);
+        let Some(queue) = self.queues.get_mut(&ask.service) else {
+            self.refuse(request, refusal::Reason::NoEndpoint, RETRY_AFTER.0 * 2);
             return std::mem::take(&mut self.effects);
         };
-        if is_exhausted(&self.members, line, &ask) {
-            self.refuse(request, refusal::Reason::NoEndpoint, RETRY.0 * 2);
+        if is_tried_everywhere(&self.members, queue, &ask) {
+            self.refuse(request, refusal::Reason::NoEndpoint, RETRY_AFTER.0 * 2);
             return std::mem::take(&mut self.effects);
         }
         let service = ask.service.clone();
-        let places: u32 = line
+        let capacity: u32 = queue
             .endpoints
             .iter()
             .filter_map(|name| self.members.get(name))
-            .map(Member::places)
+            .map(Member::capacity)
             .sum();
-        let part = f64::from(places) / f64::from(u32::try_from(self.nodes).unwrap_or(u32::MAX));
-        line.arrive(now, &ask);
-        let wait = line.wait(now, &ask, part);
-        if line.len() >= MAX_WAITING || line.is_hopeless(now + wait, &ask) {
-            let reason = if line.len() >= MAX_WAITING {
+        let node_capacity =
+            f64::from(capacity) / f64::from(u32::try_from(self.nodes).unwrap_or(u32::MAX));
+        queue.record_arrival(now, &ask);
+        let wait = queue.estimate_wait(now, &ask, node_capacity);
+        if queue.len() >= MAX_QUEUED_REQUESTS || queue.is_infeasible(now + wait, &ask) {
+            let reason = if queue.len() >= MAX_QUEUED_REQUESTS {
                 refusal::Reason::Overload
             } else {
                 refusal::Reason::Deadline
             };
-            let wait = comeback(now, &ask, wait);
+            let wait = retry_delay(now, &ask, wait);
             self.refuse(request, reason, wait);
             return std::mem::take(&mut self.effects);
         }
-        line.push(now, request, ask);
-        self.pump(now, &service);
+        queue.push(now, request, ask);
+        self.dispatch(now, &service);
         std::mem::take(&mut self.effects)
     }
 
-    /// Takes over a request that another node decided on; `delegated` tells
-    /// whether that node still counts it. False if the endpoint takes nothing
-    /// new as far as this node knows.
+    /// Records a request that another node placed. `delegated` is true if that
+    /// node still reports the request as its own load. Returns false if, as far
+    /// as this node knows, the endpoint takes no new requests.
     ///
     /// # Panics
     ///
-    /// Panics if the request was sent before.
+    /// Panics if the request is already in flight.
     pub fn adopt(
         &mut self,
         now: time::Instant,
@@ -362,35 +371,35 @@
         true
     }
 
-    /// Counts every request at this node again, as the node that decided is
-    /// gone; returns what this node has at the endpoints.
+    /// Makes this node report all its requests itself, because the node that
+    /// placed them is gone. Returns this node's load on each endpoint.
     pub fn reclaim(&mut self) -> Vec<(id::Endpoint, Held)> {
         for flight in self.flights.values_mut() {
             flight.delegated = false;
         }
-        let mut told = Vec::new();
+        let mut loads = Vec::new();
         for member in self.members.values_mut() {
             member.delegated = (0, 0);
             let load = member.load();
             if load != Held::default() {
-                told.push((member.record.id.clone(), load));
+                loads.push((member.record.id.clone(), load));
             }
         }
-        told
+        loads
     }
 
-    /// Takes over how many nodes share the endpoints.
+    /// Sets the number of nodes that share the endpoints.
     pub fn share(&mut self, nodes: usize) {
         self.nodes = nodes.max(1);
     }
 
-    /// Forgets a request that waits or was just sent.
+    /// Cancels a request that is queued or in flight.
     pub fn withdraw(&mut self, now: time::Instant, request: id::Request) -> Vec<Effect> {
         if self.flights.contains_key(&request) {
             return self.end(now, request, Outcome::Cancelled);
         }
-        for line in self.services.values_mut() {
-            if line.remove(request).is_some() {
+        for queue in self.queues.values_mut() {
+            if queue.remove(request).is_some() {
                 break;
             }
         }
@@ -412,25 +421,28 @@
         let pending = member.pending;
         member.pending = member.pending.saturating_sub(flight.ask.prompt);
         if flight.delegated {
-            // Only the node that decided knows what was read beside it.
+            // Only the node that placed the request knows which other prompts
+            // the endpoint was processing at the time.
             member.delegated.1 = member.delegated.1.saturating_sub(flight.ask.prompt);
             return;
         }
         let took = now.since(flight.sent);
-        if let Some(line) = self.services.get_mut(&flight.ask.service) {
-            let speed = member.speed(line.typical);
-            line.model.first(flight.ask.prompt, pending, took, speed);
+        if let Some(queue) = self.queues.get_mut(&flight.ask.service) {
+            let speed = member.speed(queue.mean_pace);
+            queue
+                .model
+                .record_first_byte(flight.ask.prompt, pending, took, speed);
         }
     }
 
-    /// Records what an endpoint said of its own load.
+    /// Records the load that an endpoint reported about itself.
     pub fn report(&mut self, now: time::Instant, name: &id::Endpoint, running: u32, waiting: u32) {
         if let Some(member) = self.members.get_mut(name) {
             member.reported = Some((now, running + waiting));
         }
     }
 
-    /// Ends a request at its endpoint.
+    /// Records the end of a request at its endpoint.
     pub fn end(
         &mut self,
         now: time::Instant,
@@ -442,57 +454,61 @@
         };
         let service = flight.ask.service.clone();
         if let Some(member) = self.members.get_mut(&flight.endpoint) {
-            let unread = match flight.first {
+            let unanswered_prompt = match flight.first {
                 None => flight.ask.prompt,
                 Some(_) => 0,
             };
             member.own = member.own.saturating_sub(1);
-            member.pending = member.pending.saturating_sub(unread);
+            member.pending = member.pending.saturating_sub(unanswered_prompt);
             if flight.delegated {
                 let (requests, pending) = member.delegated;
-                member.delegated = (requests.saturating_sub(1), pending.saturating_sub(unread));
+                member.delegated = (
+                    requests.saturating_sub(1),
+                    pending.saturating_sub(unanswered_prompt),
+                );
             }
-            member.learn(now, outcome);
+            member.record_outcome(now, outcome);
             if !flight.delegated
                 && let (Outcome::Answered(flow), Some(first)) = (outcome, flight.first)
-                && let Some(line) = self.services.get_mut(&service)
+                && let Some(queue) = self.queues.get_mut(&service)
             {
                 let took = now.since(first);
-                let speed = member.speed(line.typical);
-                if let Some(pace) = line.model.ended(&flight.ask, flow, took, speed) {
-                    member.observe(pace);
+                let speed = member.speed(queue.mean_pace);
+                if let Some(pace) = queue.model.record_answer(&flight.ask, flow, took, speed) {
+                    member.record_pace(pace);
                 }
             }
             if !member.listed && member.own == 0 {
                 self.members.remove(&flight.endpoint);
             }
         }
-        self.compare();
-        self.pump(now, &service);
+        self.update_mean_paces();
+        self.dispatch(now, &service);
         std::mem::take(&mut self.effects)
     }
 
-    /// Refuses what can't be served in time any more and sends what can.
+    /// Refuses queued requests that can no longer be served in time and sends
+    /// those that fit.
     pub fn tick(&mut self, now: time::Instant) -> Vec<Effect> {
-        let mut hopeless = Vec::new();
-        for line in self.services.values_mut() {
-            hopeless.extend(line.hopeless(now));
+        let mut infeasible = Vec::new();
+        for queue in self.queues.values_mut() {
+            infeasible.extend(queue.remove_infeasible(now));
         }
-        for (request, ask) in hopeless {
-            let wait = comeback(now, &ask, BACKLOG);
+        for (request, ask) in infeasible {
+            let wait = retry_delay(now, &ask, BACKLOG_DRAIN_TIME);
             self.refuse(request, refusal::Reason::Deadline, wait);
         }
-        self.pump_all(now);
+        self.dispatch_all(now);
         std::mem::take(&mut self.effects)
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of queued requests.
     #[must_use]
     pub fn waiting(&self) -> usize {
-        self.services.values().map(Line::len).sum()
+        self.queues.values().map(Queue::len).sum()
     }
 
-    /// Returns the number of requests at endpoints.
+    /// Returns the number of requests in flight.
     #[must_use]
     pub fn running(&self) -> usize {
         self.flights.len()
@@ -504,30 +520,30 @@
         self.members.values().filter(|member| member.listed).count()
     }
 
-    fn pump_all(&mut self, now: time::Instant) {
-        let busy = self.services.iter().filter(|(_, line)| line.len() > 0);
+    fn dispatch_all(&mut self, now: time::Instant) {
+        let busy = self.queues.iter().filter(|(_, queue)| queue.len() > 0);
         let busy: Vec<id::Service> = busy.map(|(service, _)| service.clone()).collect();
         for service in busy {
-            self.pump(now, &service);
+            self.dispatch(now, &service);
         }
     }
 
-    /// Sends waiting requests of a service as long as there is room.
-    fn pump(&mut self, now: time::Instant, service: &id::Service) {
+    /// Sends queued requests of a service while endpoints have room.
+    fn dispatch(&mut self, now: time::Instant, service: &id::Service) {
         loop {
-            let Some(line) = self.services.get_mut(service) else {
+            let Some(queue) = self.queues.get_mut(service) else {
                 return;
             };
-            line.demote(now);
+            queue.demote(now);
             let mut sent = false;
-            for (lane, request) in line.first(LOOK_AHEAD) {
-                let Some(line) = self.services.get(service) else {
+            for (lane, request) in queue.head(MAX_LOOKAHEAD) {
+                let Some(queue) = self.queues.get(service) else {
                     return;
                 };
-                let Some(ask) = line.get(request) else {
+                let Some(ask) = queue.get(request) else {
                     continue;
                 };
-                let choice = self.choose(now, line, ask, lane);
+                let choice = self.choose(now, queue, ask, lane);
                 match choice {
                     Pick::At(name, first) => {
                         self.send(now, service, request, &name, first);
@@ -544,57 +560,60 @@
         }
     }
 
-    /// Chooses an endpoint for a request.
-    fn choose(&self, now: time::Instant, queue: &Line, ask: &Ask, lane: Lane) -> Pick {
-        let left = (ask.due - MARGIN).since(now).as_secs_f64();
-        let whole = (ask.deadline - MARGIN).since(now).as_secs_f64();
+    /// Chooses the endpoint with the lowest cost for a request.
+    fn choose(&self, now: time::Instant, queue: &Queue, ask: &Ask, lane: Lane) -> Pick {
+        let time_to_due = (ask.due - TRANSIT_MARGIN).since(now).as_secs_f64();
+        let time_to_deadline = (ask.deadline - TRANSIT_MARGIN).since(now).as_secs_f64();
         let mut best: Option<(f64, f64, &id::Endpoint)> = None;
-        let mut room = false;
+        let mut has_room = false;
         let mut rng = self.rng.clone();
         for name in &queue.endpoints {
             let Some(member) = self.members.get(name) else {
                 continue;
             };
-            let speed = member.speed(queue.typical);
-            let Some(wait) = next_place(now, queue, member, speed) else {
+            let speed = member.speed(queue.mean_pace);
+            let Some(wait) = wait_for_slot(now, queue, member, speed) else {
                 continue;
             };
-            room = true;
+            has_room = true;
             if ask.avoid.contains(name) {
                 continue;
             }
-            let first = wait + queue.model.first_byte(ask.prompt, member.pending(), speed);
+            let first = wait
+                + queue
+                    .model
+                    .time_to_first_byte(ask.prompt, member.pending(), speed);
             let distance = if member.record.data_centre == self.settings.data_centre {
                 0.0
             } else {
-                DISTANCE
+                REMOTE_COST_SECS
             };
-            let missed = lane == Lane::OnTime && first > left;
-            let rest = queue.model.rest(ask) / speed;
-            if missed {
+            let misses_due = lane == Lane::OnTime && first > time_to_due;
+            let stream_time = queue.model.stream_time(ask) / speed;
+            if misses_due {
                 continue;
             }
-            let unfinished = if first + rest > whole {
-                UNFINISHED
+            let incomplete = if first + stream_time > time_to_deadline {
+                INCOMPLETE_COST_SECS
             } else {
                 0.0
             };
-            let disturbed = disturbed(queue, ask, member);
+            let stalled = stalled_streams(queue, ask, member);
             let cost = first
                 + distance
-                + DURATION_WEIGHT * rest
-                + DISTURBANCE * disturbed
-                + unfinished
-                + RESERVE * speed * member.occupancy()
-                + FAILURE_COST * member.failure(now)
-                + rng.random_range(0.0..JITTER);
-            if best.is_none_or(|(least, ..)| cost < least) {
+                + STREAM_TIME_WEIGHT * stream_time
+                + STALL_COST_SECS * stalled
+                + incomplete
+                + OCCUPANCY_COST_SECS * speed * member.occupancy()
+                + FAILURE_COST_SECS * member.failure_rate(now)
+                + rng.random_range(0.0..MAX_JITTER_SECS);
+            if best.is_none_or(|(lowest, ..)| cost < lowest) {
                 best = Some((cost, first, name));
             }
         }
         match best {
             Some((_, first, name)) => Pick::At(name.clone(), first),
-            None if room => Pick::Wait,
+            None if has_room => Pick::Wait,
             None => Pick::Full,
         }
     }
@@ -608,13 +627,13 @@
         first: f64,
     ) {
         self.rng.random::<u64>();
-        let Some(line) = self.services.get_mut(service) else {
+        let Some(queue) = self.queues.get_mut(service) else {
             return;
         };
-        let Some(ask) = line.send(now, request) else {
+        let Some(ask) = queue.send(now, request) else {
             return;
         };
-        let waiting = line.len();
+        let waiting = queue.len();
         let Some(member) = self.members.get_mut(name) else {
             return;
         };
@@ -626,7 +645,7 @@
             data_centre: member.record.data_centre.clone(),
             own: member.own,
             others: member.others.requests,
-            places: member.places(),
+            places: member.capacity(),
             first: Duration::from_secs_f64(first.clamp(0.0, 3600.0)),
             waiting,
         };
@@ -642,9 +661,9 @@
         self.effects.push(Effect::Send(request, choice));
     }
 
-    fn refuse(&mut self, request: id::Request, reason: refusal::Reason, after: Duration) {
+    fn refuse(&mut self, request: id::Request, reason: refusal::Reason, delay: Duration) {
         let spread = self.rng.random_range(1.0..1.25);
-        let retry_after = after.clamp(RETRY.0, RETRY.1).mul_f64(spread);
+        let retry_after = delay.clamp(RETRY_AFTER.0, RETRY_AFTER.1).mul_f64(spread);
         let refusal = Refusal {
             reason,
             retry_after,
@@ -652,44 +671,44 @@
         self.effects.push(Effect::Refuse(request, refusal));
     }
 
-    /// Brings the mean pace of each service up to date.
-    fn compare(&mut self) {
-        for line in self.services.values_mut() {
-            let members = line.endpoints.iter();
+    /// Updates the mean pace of each service.
+    fn update_mean_paces(&mut self) {
+        for queue in self.queues.values_mut() {
+            let members = queue.endpoints.iter();
             let paces = members.filter_map(|name| self.members.get(name)?.pace.get());
             let (mut sum, mut count) = (0.0, 0.0);
             for pace in paces {
                 sum += pace;
                 count += 1.0;
             }
-            line.typical = (count > 0.0).then_some(sum / count);
+            queue.mean_pace = (count > 0.0).then_some(sum / count);
         }
     }
 
-    /// Groups the endpoints by service.
-    fn index(&mut self) {
-        for line in self.services.values_mut() {
-            line.endpoints.clear();
+    /// Groups the listed endpoints by service.
+    fn group_by_service(&mut self) {
+        for queue in self.queues.values_mut() {
+            queue.endpoints.clear();
         }
         for member in self.members.values() {
             if !member.listed {
                 continue;
             }
-            let line = self
-                .services
+            let queue = self
+                .queues
                 .entry(member.record.service.clone())
                 .or_default();
-            line.endpoints.push(member.record.id.clone());
+            queue.endpoints.push(member.record.id.clone());
         }
     }
 
-    /// Adds up what the other nodes hold.
-    fn count_others(&mut self) {
+    /// Adds up the load that the other nodes reported for each endpoint.
+    fn sum_peer_loads(&mut self) {
         for member in self.members.values_mut() {
             member.others = Held::default();
         }
-        for held in self.peers.values() {
-            for (name, held) in held {
+        for loads in self.peers.values() {
+            for (name, held) in loads {
                 let Some(member) = self.members.get_mut(name) else {
                     continue;
                 };
@@ -700,45 +719,48 @@
     }
 }
 
-/// Where a waiting request can go.
+/// Where a queued request can go.
 enum Pick {
-    /// To this endpoint, with its expected time to the first byte in seconds.
+    /// To this endpoint, with the expected time to first byte in seconds.
     At(id::Endpoint, f64),
-    /// To none that has room.
+    /// Some endpoint has room, but none suits this request.
     Wait,
     /// No endpoint has room.
     Full,
 }
 
-/// Returns the seconds until an endpoint has a place; none if that is too long.
-fn next_place(now: time::Instant, line: &Line, member: &Member, speed: f64) -> Option<f64> {
-    let (taken, places) = (member.taken(now)?, member.places());
-    if taken < places {
+/// Returns the expected seconds until an endpoint has a free slot, or `None` if
+/// the endpoint takes no more requests now.
+fn wait_for_slot(now: time::Instant, queue: &Queue, member: &Member, speed: f64) -> Option<f64> {
+    let (load, capacity) = (member.available_load(now)?, member.capacity());
+    if load < capacity {
         return Some(0.0);
     }
-    let wait = line.model.typical() / (speed * f64::from(places));
-    (taken == places && wait > 0.0 && wait <= NEXT_PLACE).then_some(wait)
+    let wait = queue.model.mean_stream_time() / (speed * f64::from(capacity));
+    (load == capacity && wait > 0.0 && wait <= MAX_COMPLETION_GAP_SECS).then_some(wait)
 }
 
-/// Returns the number of streams at an endpoint that would pause for too
-/// long while it reads the request's prompt.
-fn disturbed(line: &Line, ask: &Ask, member: &Member) -> f64 {
+/// Returns the number of streams at an endpoint that would pause for too long
+/// while it processes the request's prompt.
+fn stalled_streams(queue: &Queue, ask: &Ask, member: &Member) -> f64 {
     let Some(pause) = ask.pause else {
         return 0.0;
     };
     let pause = pause.as_secs_f64();
-    let speed = member.speed(line.typical);
-    let longest = line.model.pause(ask.prompt, member.pending(), speed);
-    let part = (longest / pause - DISTURBANCE_FROM) / (1.0 - DISTURBANCE_FROM);
-    part.clamp(0.0, 1.0) * f64::from(member.running())
+    let speed = member.speed(queue.mean_pace);
+    let longest = queue
+        .model
+        .expected_pause(ask.prompt, member.pending(), speed);
+    let severity = (longest / pause - STALL_THRESHOLD) / (1.0 - STALL_THRESHOLD);
+    severity.clamp(0.0, 1.0) * f64::from(member.running())
 }
 
-/// Returns whether a request was sent to every endpoint that could take it.
-fn is_exhausted(members: &BTreeMap<id::Endpoint, Member>, line: &Line, ask: &Ask) -> bool {
+/// Returns whether a request was already sent to every live endpoint.
+fn is_tried_everywhere(members: &BTreeMap<id::Endpoint, Member>, queue: &Queue, ask: &Ask) -> bool {
     if ask.avoid.is_empty() {
         return false;
     }
-    let mut names = line.endpoints.iter();
+    let mut names = queue.endpoints.iter();
     !names.any(|name| {
         let member = members.get(name);
         !ask.avoid.contains(name)
@@ -746,9 +768,9 @@
     })
 }
 
-/// Returns when a refused caller should come back: once the backlog is gone,
-/// and early enough to be served.
-fn comeback(now: time::Instant, ask: &Ask, wait: Duration) -> Duration {
-    let latest = ask.deadline.since(now) / COMEBACK_PART;
+/// Returns how long a refused caller should wait before a retry: until the
+/// backlog has drained, but not so long that the retry can't be served.
+fn retry_delay(now: time::Instant, ask: &Ask, wait: Duration) -> Duration {
+    let latest = ask.deadline.since(now) / RETRY_DIVISOR;
     wait.min(latest.mul_f64(0.8))
 }
--- a/lib/src/gate/member.rs
+++ b/lib/src/gate/member.rs
@@ -1,4 +1,4 @@
-//! What a gate knows of one endpoint.
+//! State that a gate keeps for one endpoint.
 
 use std::{mem, time::Duration};
 
@@ -9,56 +9,61 @@
     time,
 };
 
-/// Places of an endpoint that does not tell how many it has.
-const DEFAULT_PLACES: u32 = 8;
+/// Capacity assumed for an endpoint that does not report one, in requests.
+const DEFAULT_CAPACITY: u32 = 8;
 
-/// Time for which an unreachable endpoint is avoided, at first and at most.
-const AVOID: (Duration, Duration) = (Duration::from_millis(300), Duration::from_secs(2));
+/// Initial and maximum time for which an unreachable endpoint is avoided; the
+/// time doubles with each failed connection.
+const UNREACHABLE_BACKOFF: (Duration, Duration) =
+    (Duration::from_millis(300), Duration::from_secs(2));
 
-/// Time for which an endpoint that rejected a request is avoided.
-const FULL: Duration = Duration::from_millis(100);
+/// Time for which an endpoint is avoided after it rejected a request.
+const REJECTED_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Time for which an endpoint is avoided whose address another one has; the
-/// directory tells of the change meanwhile.
-const REPLACED: Duration = Duration::from_secs(5);
+/// Time for which an endpoint is avoided if another one has its address; by
+/// then the directory has listed the change.
+const MISDIRECTED_BACKOFF: Duration = Duration::from_secs(5);
 
-/// Time after which half of the observed failures is forgotten, seconds.
-const FAILURE_HALF_LIFE: f64 = 2.0;
+/// Half-life of the observed failure rate, in seconds.
+const FAILURE_HALF_LIFE_SECS: f64 = 2.0;
 
-/// Weight of one more result against the failures seen so far.
+/// Weight of a new result in the failure rate.
 const FAILURE_WEIGHT: f64 = 0.2;
 
-/// Bounds of an endpoint's speed relative to the service's mean.
-const SPEED: (f64, f64) = (0.1, 10.0);
+/// Minimum and maximum speed of an endpoint, relative to the service's mean.
+const SPEED_BOUNDS: (f64, f64) = (0.1, 10.0);
 
-/// Time for which an endpoint's own word on its load counts.
+/// Time for which an endpoint's own report of its load is used.
 const REPORT_TTL: Duration = Duration::from_millis(500);
 
-/// One endpoint.
+/// An endpoint as a member of the gate's pool.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
-    /// What the directory says.
+    /// The endpoint's entry in the directory.
     pub(super) record: Record,
-    /// Whether the directory names it.
+    /// Whether the directory still lists it.
     pub(super) listed: bool,
-    /// Requests of this node.
+    /// Requests in flight from this node.
     pub(super) own: u32,
-    /// Prompt tokens of this node that wait for their first byte.
+    /// Prompt tokens of this node's requests still waiting for their first
+    /// byte.
     pub(super) pending: u64,
-    /// The part of both that another node decided on and counts.
+    /// The part of `own` and `pending` that another node placed and reports as
+    /// its own.
     pub(super) delegated: (u32, u64),
-    /// What the other nodes hold.
+    /// Load of the other nodes, by their last reports.
     pub(super) others: Held,
-    /// Requests at the endpoint by its own word.
+    /// Requests at the endpoint by its own last report, and when that was.
     pub(super) reported: Option<(time::Instant, u32)>,
     /// Seconds between two events of a stream.
     pub(super) pace: Average,
-    /// Sum and number of the paces that the others were not told yet.
-    untold: (f64, u32),
+    /// Sum and number of the paces recorded since the last report to the other
+    /// nodes.
+    unreported_pace: (f64, u32),
     avoided_until: time::Instant,
-    misses: u32,
-    failures: f64,
-    judged: time::Instant,
+    failed_connections: u32,
+    failure_rate: f64,
+    failure_rate_updated: time::Instant,
 }
 
 impl Member {
@@ -72,37 +77,38 @@
             others: Held::default(),
             reported: None,
             pace: Average::default(),
-            untold: (0.0, 0),
+            unreported_pace: (0.0, 0),
             avoided_until: time::Instant::default(),
-            misses: 0,
-            failures: 0.0,
-            judged: time::Instant::default(),
+            failed_connections: 0,
+            failure_rate: 0.0,
+            failure_rate_updated: time::Instant::default(),
         }
     }
 
-    /// Takes over a changed record.
+    /// Replaces the record; a changed address clears the failures.
     pub(super) fn update(&mut self, record: Record) {
         if record.address != self.record.address {
             self.avoided_until = time::Instant::default();
-            self.misses = 0;
-            self.failures = 0.0;
+            self.failed_connections = 0;
+            self.failure_rate = 0.0;
         }
         self.listed = true;
         self.record = record;
     }
 
-    /// Returns the requests that it runs at once.
-    pub(super) fn places(&self) -> u32 {
-        self.record.places.unwrap_or(DEFAULT_PLACES).max(1)
+    /// Returns the number of requests that it runs at once.
+    pub(super) fn capacity(&self) -> u32 {
+        self.record.places.unwrap_or(DEFAULT_CAPACITY).max(1)
     }
 
-    /// Returns the requests that are there; none if it takes no more.
-    pub(super) fn taken(&self, now: time::Instant) -> Option<u32> {
+    /// Returns the number of requests in flight there, or `None` if it takes no
+    /// more requests now.
+    pub(super) fn available_load(&self, now: time::Instant) -> Option<u32> {
         if self.record.standing == Standing::Leaving || self.avoided_until > now {
             return None;
         }
-        // One request finds out whether it can be reached again.
-        if self.misses > 0 && self.own > 0 {
+        // A single request tests whether it can be reached again.
+        if self.failed_connections > 0 && self.own > 0 {
             return None;
         }
         let mut others = self.others.requests;
@@ -114,31 +120,33 @@
         Some(self.own + others)
     }
 
-    /// Returns the requests of all nodes.
+    /// Returns the number of requests in flight from all nodes.
     pub(super) fn running(&self) -> u32 {
         self.own + self.others.requests
     }
 
-    /// Returns the part of its places that is taken.
+    /// Returns the fraction of its capacity that is in use.
     pub(super) fn occupancy(&self) -> f64 {
-        f64::from(self.running()) / f64::from(self.places())
+        f64::from(self.running()) / f64::from(self.capacity())
     }
 
-    /// Returns the prompt tokens of all nodes that wait for their first byte.
+    /// Returns the prompt tokens of all nodes' requests still waiting for their
+    /// first byte.
     pub(super) fn pending(&self) -> u64 {
         self.pending + self.others.pending
     }
 
-    /// Learns the seconds between two events of a stream of this node.
-    pub(super) fn observe(&mut self, pace: f64) {
+    /// Records the seconds between two events of a stream of this node.
+    pub(super) fn record_pace(&mut self, pace: f64) {
         self.pace.record(pace);
-        self.untold.0 += pace;
-        self.untold.1 += 1;
+        self.unreported_pace.0 += pace;
+        self.unreported_pace.1 += 1;
     }
 
-    /// Returns what this node tells the others from here on.
-    pub(super) fn held(&mut self) -> Held {
-        let (sum, count) = mem::take(&mut self.untold);
+    /// Returns the load to report to the other nodes, with the mean pace since
+    /// the last report.
+    pub(super) fn take_load(&mut self) -> Held {
+        let (sum, count) = mem::take(&mut self.unreported_pace);
         let pace = (count > 0).then(|| Duration::from_secs_f64(sum / f64::from(count)));
         Held {
             pace,
@@ -146,7 +154,7 @@
         }
     }
 
-    /// Returns what this node has there and counts itself.
+    /// Returns the load that this node reports itself, without a pace.
     pub(super) fn load(&self) -> Held {
         let (requests, pending) = self.delegated;
         Held {
@@ -157,45 +165,47 @@
     }
 
     /// Returns the speed relative to the service's mean.
-    pub(super) fn speed(&self, typical: Option<f64>) -> f64 {
-        let (Some(own), Some(typical)) = (self.pace.get(), typical) else {
+    pub(super) fn speed(&self, mean_pace: Option<f64>) -> f64 {
+        let (Some(own), Some(mean_pace)) = (self.pace.get(), mean_pace) else {
             return 1.0;
         };
-        (typical / own.max(1e-6)).clamp(SPEED.0, SPEED.1)
+        (mean_pace / own.max(1e-6)).clamp(SPEED_BOUNDS.0, SPEED_BOUNDS.1)
     }
 
-    /// Returns the part of requests that failed lately.
-    pub(super) fn failure(&self, now: time::Instant) -> f64 {
-        let idle = now.since(self.judged).as_secs_f64();
-        self.failures * (-idle / FAILURE_HALF_LIFE).exp2()
+    /// Returns the fraction of recent requests that failed.
+    pub(super) fn failure_rate(&self, now: time::Instant) -> f64 {
+        let idle = now.since(self.failure_rate_updated).as_secs_f64();
+        self.failure_rate * (-idle / FAILURE_HALF_LIFE_SECS).exp2()
     }
 
-    /// Learns from the end of a request.
-    pub(super) fn learn(&mut self, now: time::Instant, outcome: Outcome) {
+    /// Records the outcome of a request.
+    pub(super) fn record_outcome(&mut self, now: time::Instant, outcome: Outcome) {
         let failed = match outcome {
             Outcome::Cancelled => return,
             Outcome::Answered(_) => {
-                self.misses = 0;
+                self.failed_connections = 0;
                 0.0
             }
             Outcome::Rejected => {
-                self.avoided_until = self.avoided_until.max(now + FULL);
+                self.avoided_until = self.avoided_until.max(now + REJECTED_BACKOFF);
                 return;
             }
             Outcome::Misdirected => {
-                self.avoided_until = self.avoided_until.max(now + REPLACED);
+                self.avoided_until = self.avoided_until.max(now + MISDIRECTED_BACKOFF);
                 return;
             }
             Outcome::Failed => 0.5,
             Outcome::Unreachable | Outcome::Broken => 1.0,
         };
         if outcome == Outcome::Unreachable {
-            let pause = (AVOID.0 * 2_u32.saturating_pow(self.misses.min(8))).min(AVOID.1);
-            self.misses += 1;
-            self.avoided_until = self.avoided_until.max(now + pause);
+            let backoff = (UNREACHABLE_BACKOFF.0
+                * 2_u32.saturating_pow(self.failed_connections.min(8)))
+            .min(UNREACHABLE_BACKOFF.1);
+            self.failed_connections += 1;
+            self.avoided_until = self.avoided_until.max(now + backoff);
         }
-        let failures = self.failure(now);
-        self.failures = failures + (failed - failures) * FAILURE_WEIGHT;
-        self.judged = now;
+        let rate = self.failure_rate(now);
+        self.failure_rate = rate + (failed - rate) * FAILURE_WEIGHT;
+        self.failure_rate_updated = now;
     }
 }
--- /dev/null
+++ b/lib/src/gate/model.rs
@@ -0,0 +1,242 @@
+//! Model of a service's answer times, learnt from completed requests.
+
+use std::time::Duration;
+
+use crate::{
+    estimate::Average,
+    gate::{Ask, Flow},
+};
+
+/// Prior for the time to first byte of an empty prompt, in seconds.
+const FIRST_BYTE_PRIOR_SECS: f64 = 0.04;
+
+/// Prior for the time that each prompt token adds, in seconds.
+const PROMPT_TOKEN_PRIOR_SECS: f64 = 15e-6;
+
+/// Prompt lengths at which the prior is entered into the regression, in tokens.
+const PRIOR_PROMPT_TOKENS: [f64; 4] = [0.0, 2000.0, 10_000.0, 40_000.0];
+
+/// Weight of the prior at each length, in observations.
+const PRIOR_WEIGHT: f64 = 1.0;
+
+/// Unit of prompt length in the regression, in tokens; keeps its sums small.
+const PROMPT_UNIT_TOKENS: f64 = 10_000.0;
+
+/// Factor by which earlier observations are discounted at each new one.
+const DISCOUNT: f64 = 0.995;
+
+/// Fraction of other pending prompt tokens that delays a first byte: engines
+/// process prompts in chunks, in turn.
+const PENDING_FRACTION: f64 = 0.6;
+
+/// Minimum number of events for which a stream's pace is recorded.
+const MIN_PACE_EVENTS: u64 = 4;
+
+/// Prior for the time between two events, in seconds.
+const PACE_PRIOR_SECS: f64 = 0.03;
+
+/// Prior for the tokens of an event.
+const TOKENS_PER_EVENT_PRIOR: f64 = 6.0;
+
+/// Weight of the prior for tokens per event, in expected tokens.
+const OUTPUT_PRIOR_TOKENS: f64 = 2000.0;
+
+/// Prior for the longest pause of a stream while its engine processes prompts,
+/// in seconds.
+const PAUSE_PRIOR_SECS: f64 = 0.25;
+
+/// Weights of a pause longer and shorter than the estimate of the longest
+/// pause.
+const PAUSE_WEIGHTS: (f64, f64) = (0.1, 0.002);
+
+/// Maximum pause that is attributed to prompt processing, in seconds; longer
+/// pauses have another cause and count as this long.
+const MAX_PAUSE_SECS: f64 = 1.0;
+
+/// Least-squares fit of a quadratic: time as a function of prompt length.
+#[derive(Clone, Copy, Debug, Default)]
+struct Fit {
+    /// Weighted sums of 1, x, x^2, x^3 and x^4.
+    powers: [f64; 5],
+    /// Weighted sums of y, xy and x^2 y.
+    products: [f64; 3],
+    /// Solution: constant, slope and curvature.
+    coefficients: [f64; 3],
+}
+
+impl Fit {
+    fn add(&mut self, x: f64, y: f64, weight: f64) {
+        let mut term = weight;
+        for (index, power) in self.powers.iter_mut().enumerate() {
+            *power += term;
+            if let Some(product) = self.products.get_mut(index) {
+                *product += term * y;
+            }
+            term *= x;
+        }
+    }
+
+    fn decay(&mut self) {
+        for sum in self.powers.iter_mut().chain(&mut self.products) {
+            *sum *= DISCOUNT;
+        }
+    }
+
+    /// Solves the normal equations; keeps the previous coefficients if they
+    /// have no solution.
+    fn solve(&mut self) {
+        let [s0, s1, s2, s3, s4] = self.powers;
+        let [y0, y1, y2] = self.products;
+        let determinant = |rows: [[f64; 3]; 3]| {
+            let [first, second, third] = rows;
+            let minor =
+                |from: usize, to: usize| second[from] * third[to] - second[to] * third[from];
+            first[0] * minor(1, 2) - first[1] * minor(0, 2) + first[2] * minor(0, 1)
+        };
+        let denominator = determinant([[s0, s1, s2], [s1, s2, s3], [s2, s3, s4]]);
+        if denominator.abs() < 1e-9 {
+            return;
+        }
+        let constant = determinant([[y0, s1, s2], [y1, s2, s3], [y2, s3, s4]]) / denominator;
+        let slope = determinant([[s0, y0, s2], [s1, y1, s3], [s2, y2, s4]]) / denominator;
+        let curvature = determinant([[s0, s1, y0], [s1, s2, y1], [s2, s3, y2]]) / denominator;
+        self.coefficients = [constant.max(0.0), slope.max(0.0), curvature.max(0.0)];
+    }
+}
+
+/// Model of a service's answers. Times are those of an endpoint of mean speed.
+#[derive(Clone, Debug)]
+pub(super) struct Model {
+    fit: Fit,
+    /// Longest pause of a stream while its endpoint processes prompts, in
+    /// seconds.
+    longest_pause: f64,
+    /// Seconds between two events of a stream.
+    pub(super) pace: Average,
+    /// Seconds from the first byte of an answer to its end.
+    stream_time: Average,
+    /// Discounted sums of received events and of expected tokens.
+    output: (f64, f64),
+}
+
+impl Default for Model {
+    fn default() -> Self {
+        let mut fit = Fit::default();
+        for prompt in PRIOR_PROMPT_TOKENS {
+            let time = FIRST_BYTE_PRIOR_SECS + PROMPT_TOKEN_PRIOR_SECS * prompt;
+            fit.add(prompt / PROMPT_UNIT_TOKENS, time, PRIOR_WEIGHT);
+        }
+        fit.solve();
+        Self {
+            fit,
+            longest_pause: PAUSE_PRIOR_SECS,
+            pace: Average::default(),
+            stream_time: Average::default(),
+            output: (
+                OUTPUT_PRIOR_TOKENS / TOKENS_PER_EVENT_PRIOR,
+                OUTPUT_PRIOR_TOKENS,
+            ),
+        }
+    }
+}
+
+impl Model {
+    /// Records a time to first byte. `pending` is the number of pending prompt
+    /// tokens at the endpoint at that time, including this request's.
+    pub(super) fn record_first_byte(
+        &mut self,
+        prompt: u64,
+        pending: u64,
+        elapsed: Duration,
+        speed: f64,
+    ) {
+        let others = pending.saturating_sub(prompt);
+        let tokens = to_float(prompt) + PENDING_FRACTION * to_float(others);
+        self.fit.decay();
+        self.fit.add(
+            tokens / PROMPT_UNIT_TOKENS,
+            elapsed.as_secs_f64() * speed,
+            1.0,
+        );
+        self.fit.solve();
+    }
+
+    /// Records a complete answer. Returns its pace, if it had enough events.
+    pub(super) fn record_answer(
+        &mut self,
+        ask: &Ask,
+        flow: Flow,
+        elapsed: Duration,
+        speed: f64,
+    ) -> Option<f64> {
+        if ask.output > 0 && flow.events > 0 {
+            let (events, tokens) = self.output;
+            self.output = (
+                events * DISCOUNT + to_float(flow.events),
+                tokens * DISCOUNT + to_float(ask.output),
+            );
+        }
+        self.stream_time.record(elapsed.as_secs_f64() * speed);
+        if flow.events < MIN_PACE_EVENTS {
+            return None;
+        }
+        let pause = (flow.pause.as_secs_f64() * speed).min(MAX_PAUSE_SECS);
+        let weight = if pause > self.longest_pause {
+            PAUSE_WEIGHTS.0
+        } else {
+            PAUSE_WEIGHTS.1
+        };
+        self.longest_pause += (pause - self.longest_pause) * weight;
+        let pace = elapsed.as_secs_f64() / to_float(flow.events - 1);
+        self.pace.record(pace);
+        Some(pace)
+    }
+
+    /// Returns the expected seconds to the first byte at an endpoint.
+    pub(super) fn time_to_first_byte(&self, prompt: u64, pending: u64, speed: f64) -> f64 {
+        let tokens = to_float(prompt) + PENDING_FRACTION * to_float(pending);
+        let [constant, ..] = self.fit.coefficients;
+        (constant + self.prefill_time(tokens)) / speed
+    }
+
+    /// Returns the longest expected pause, in seconds, of streams at an
+    /// endpoint that processes these prompts.
+    pub(super) fn expected_pause(&self, prompt: u64, pending: u64, speed: f64) -> f64 {
+        let prefill = self.prefill_time(to_float(prompt)) + self.prefill_time(to_float(pending));
+        prefill.min(self.longest_pause) / speed
+    }
+
+    /// Returns the expected seconds to process this many prompt tokens.
+    fn prefill_time(&self, tokens: f64) -> f64 {
+        let [_, slope, curvature] = self.fit.coefficients;
+        let units = tokens / PROMPT_UNIT_TOKENS;
+        units * (slope + curvature * units)
+    }
+
+    /// Returns the expected seconds from the first byte to the end.
+    pub(super) fn stream_time(&self, ask: &Ask) -> f64 {
+        if ask.output == 0 {
+            return 0.0;
+        }
+        let events_per_token = self.output.0 / self.output.1;
+        let pace = self.pace.get().unwrap_or(PACE_PRIOR_SECS);
+        to_float(ask.output) * events_per_token * pace
+    }
+
+    /// Returns the mean seconds from the first byte of an answer to its end.
+    pub(super) fn mean_stream_time(&self) -> f64 {
+        self.stream_time.get().unwrap_or_default()
+    }
+
+    /// Returns the expected time of a complete answer at an idle endpoint of
+    /// mean speed.
+    pub(super) fn duration(&self, ask: &Ask) -> Duration {
+        let seconds = self.time_to_first_byte(ask.prompt, 0, 1.0) + self.stream_time(ask);
+        Duration::from_secs_f64(seconds.clamp(0.0, 3600.0))
+    }
+}
+
+#[expect(clippy::cast_precision_loss, reason = "estimates")]
+fn to_float(value: u64) -> f64 {
+    value as f64
+}
--- a/lib/src/gate/line.rs
+++ b/lib/src/gate/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for one service.
+//! Queue of one service: order of the requests, and the expected wait.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -6,39 +6,39 @@
 };
 
 use crate::{
-    gate::{Ask, learn::Model},
+    gate::{Ask, model::Model},
     id, time,
 };
 
-/// Whether a waiting request can still be on time.
+/// Whether a queued request can still be on time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Lane {
-    /// Its first byte can come within its objective.
+    /// Its first byte can arrive by its due time.
     OnTime,
-    /// It will be late; it gets what the others leave.
+    /// Its first byte will be late; it is served after the others.
     Late,
 }
 
-/// Order of the waiting requests.
+/// Sort key of the queued requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     lane: Lane,
     tier: id::Tier,
     class: id::Tier,
-    by: time::Instant,
+    due: time::Instant,
     request: id::Request,
 }
 
-/// A request that waits.
+/// A queued request.
 #[derive(Clone, Debug)]
 struct Entry {
     ask: Ask,
     rank: Rank,
-    /// Expected time of its whole answer, seconds.
+    /// Expected time of its complete answer, in seconds.
     work: f64,
 }
 
-/// Work a second, averaged over the recent past.
+/// Work per second, as an exponentially decaying average.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rate {
     sum: f64,
@@ -47,35 +47,35 @@
 
 impl Rate {
     fn record(&mut self, now: time::Instant, work: f64) {
-        self.sum = self.get(now) * RATE_SPAN.as_secs_f64() + work;
+        self.sum = self.get(now) * RATE_TIME_CONSTANT.as_secs_f64() + work;
         self.updated = now;
     }
 
     fn get(&self, now: time::Instant) -> f64 {
-        let span = RATE_SPAN.as_secs_f64();
+        let time_constant = RATE_TIME_CONSTANT.as_secs_f64();
         let idle = now.since(self.updated).as_secs_f64();
-        self.sum * (-idle / span).exp() / span
+        self.sum * (-idle / time_constant).exp() / time_constant
     }
 }
 
-/// The waiting requests and endpoints of one service.
+/// The queued requests and the endpoints of one service.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Line {
-    /// Its endpoints.
+pub(super) struct Queue {
+    /// The service's endpoints.
     pub(super) endpoints: Vec<id::Endpoint>,
-    /// What was learnt of its answers.
+    /// Model of the service's answer times.
     pub(super) model: Model,
     /// Mean seconds between two events of a stream, over the endpoints.
-    pub(super) typical: Option<f64>,
+    pub(super) mean_pace: Option<f64>,
     order: BTreeSet<Rank>,
     entries: HashMap<id::Request, Entry>,
-    /// Work that was sent to endpoints.
+    /// Rate of work sent to endpoints.
     sent: Rate,
-    /// Work that came in, by rank.
+    /// Rate of arriving work, by tier and effective class.
     arrived: BTreeMap<(id::Tier, id::Tier), Rate>,
 }
 
-impl Line {
+impl Queue {
     pub(super) fn len(&self) -> usize {
         self.entries.len()
     }
@@ -84,14 +84,14 @@
         self.entries.get(&request).map(|entry| &entry.ask)
     }
 
-    /// Records that a request came in.
-    pub(super) fn arrive(&mut self, now: time::Instant, ask: &Ask) {
+    /// Records the arrival of a request.
+    pub(super) fn record_arrival(&mut self, now: time::Instant, ask: &Ask) {
         let work = self.model.duration(ask).as_secs_f64();
-        let rank = (ask.tier, self.class(ask));
+        let rank = (ask.tier, self.effective_class(ask));
         self.arrived.entry(rank).or_default().record(now, work);
     }
 
-    /// Takes out a request that is sent to an endpoint.
+    /// Removes a request that is sent to an endpoint.
     pub(super) fn send(&mut self, now: time::Instant, request: id::Request) -> Option<Ask> {
         let work = self.entries.get(&request)?.work;
         self.sent.record(now, work);
@@ -106,20 +106,20 @@
         self.entries.insert(request, Entry { ask, rank, work });
     }
 
-    /// Takes a request out.
+    /// Removes a request.
     pub(super) fn remove(&mut self, request: id::Request) -> Option<Ask> {
         let entry = self.entries.remove(&request)?;
         self.order.remove(&entry.rank);
         Some(entry.ask)
     }
 
-    /// Returns the first requests in order.
-    pub(super) fn first(&self, count: usize) -> Vec<(Lane, id::Request)> {
+    /// Returns the first requests in the order of the queue.
+    pub(super) fn head(&self, count: usize) -> Vec<(Lane, id::Request)> {
         let first = self.order.iter().take(count);
         first.map(|rank| (rank.lane, rank.request)).collect()
     }
 
-    /// Moves the requests that can't be on time any more behind the others.
+    /// Moves requests that can no longer be on time behind the others.
     pub(super) fn demote(&mut self, now: time::Instant) {
         let mut late = Vec::new();
         for rank in &self.order {
@@ -140,34 +140,39 @@
         }
     }
 
-    /// Takes out the requests whose answer can't be whole by their deadline.
-    pub(super) fn hopeless(&mut self, now: time::Instant) -> Vec<(id::Request, Ask)> {
-        let mut hopeless = Vec::new();
+    /// Removes and returns the requests that can no longer be served in time.
+    pub(super) fn remove_infeasible(&mut self, now: time::Instant) -> Vec<(id::Request, Ask)> {
+        let mut infeasible = Vec::new();
         for (&request, entry) in &self.entries {
-            if self.is_hopeless(now, &entry.ask) {
-                hopeless.push(request);
+            if self.is_infeasible(now, &entry.ask) {
+                infeasible.push(request);
             }
         }
-        let taken = hopeless.into_iter();
-        taken
+        let removed = infeasible.into_iter();
+        removed
             .filter_map(|request| Some((request, self.remove(request)?)))
             .collect()
     }
 
-    /// Returns whether a request that gets an endpoint now is of no use.
-    pub(super) fn is_hopeless(&self, now: time::Instant, ask: &Ask) -> bool {
-        let first = self.model.first_byte(ask.prompt, 0, FASTEST);
+    /// Returns whether the first byte would come after the caller has left or
+    /// the deadline has passed, even if the fastest endpoint took the request
+    /// now.
+    pub(super) fn is_infeasible(&self, now: time::Instant, ask: &Ask) -> bool {
+        let first = self
+            .model
+            .time_to_first_byte(ask.prompt, 0, MAX_RELATIVE_SPEED);
         now + seconds(first) > ask.first_by.min(ask.deadline)
     }
 
-    /// Returns the time that a new request would wait: the work ahead of it,
-    /// at the rate that is left beside more urgent arrivals. `places` of the
-    /// endpoints serve this node at the least.
-    pub(super) fn wait(&self, now: time::Instant, ask: &Ask, places: f64) -> Duration {
-        let drain = self.sent.get(now).max(places * LEAST_DRAIN);
-        let above = self.arrived.range(..(ask.tier, self.class(ask)));
-        let above: f64 = above.map(|(_, rate)| rate.get(now)).sum();
-        let left = (drain - above).max(drain * LEAST_PART);
+    /// Returns the expected wait of a new request: the work ahead of it,
+    /// divided by the drain rate that more urgent arrivals leave. `capacity` is
+    /// this node's part of the endpoints' capacity, a lower bound for the drain
+    /// rate.
+    pub(super) fn estimate_wait(&self, now: time::Instant, ask: &Ask, capacity: f64) -> Duration {
+        let drain = self.sent.get(now).max(capacity * MIN_DRAIN_PER_SLOT);
+        let urgent = self.arrived.range(..(ask.tier, self.effective_class(ask)));
+        let urgent: f64 = urgent.map(|(_, rate)| rate.get(now)).sum();
+        let available = (drain - urgent).max(drain * MIN_DRAIN_FRACTION);
         let wait = |rank: &Rank| {
             let ahead = self.order.range(..rank);
             let ahead = ahead.filter_map(|rank| self.entries.get(&rank.request));
@@ -175,18 +180,20 @@
             if work <= 0.0 {
                 return Duration::ZERO;
             }
-            seconds(work / left.max(f64::MIN_POSITIVE))
+            seconds(work / available.max(f64::MIN_POSITIVE))
         };
         let on_time = wait(&self.rank(now, id::Request(u64::MAX), ask));
         if self.lane(now + on_time, ask) == Lane::OnTime {
             return on_time;
         }
-        // It would be overtaken by what can still be on time.
+        // Requests that can still be on time would overtake it.
         wait(&self.rank(now + on_time, id::Request(u64::MAX), ask))
     }
 
     fn lane(&self, now: time::Instant, ask: &Ask) -> Lane {
-        let first = self.model.first_byte(ask.prompt, 0, FASTEST);
+        let first = self
+            .model
+            .time_to_first_byte(ask.prompt, 0, MAX_RELATIVE_SPEED);
         if now + seconds(first) > ask.due {
             Lane::Late
         } else {
@@ -194,11 +201,11 @@
         }
     }
 
-    /// Returns the rank within the tier; short work goes first, as it delays
-    /// the rest by little.
-    fn class(&self, ask: &Ask) -> id::Tier {
+    /// Returns the priority within the tier. Short requests get the highest, as
+    /// they delay the others little.
+    fn effective_class(&self, ask: &Ask) -> id::Tier {
         let work = self.model.duration(ask).as_secs_f64();
-        if work < self.model.typical() * SHORT_PART {
+        if work < self.model.mean_stream_time() * SHORT_FRACTION {
             return id::Tier::default();
         }
         ask.class
@@ -206,34 +213,35 @@
 
     fn rank(&self, now: time::Instant, request: id::Request, ask: &Ask) -> Rank {
         let lane = self.lane(now, ask);
-        let by = match lane {
+        let due = match lane {
             Lane::OnTime => ask.due,
             Lane::Late => ask.first_by,
         };
         Rank {
             lane,
             tier: ask.tier,
-            class: self.class(ask),
-            by,
+            class: self.effective_class(ask),
+            due,
             request,
         }
     }
 }
 
-/// Part of the typical time of an answer up to which work is short.
-const SHORT_PART: f64 = 0.25;
+/// Fraction of the mean streaming time below which a request counts as short.
+const SHORT_FRACTION: f64 = 0.25;
 
-/// Time over which rates of work are averaged; bursts last some seconds.
-const RATE_SPAN: Duration = Duration::from_secs(2);
+/// Time constant of the averaged rates; bursts last a few seconds.
+const RATE_TIME_CONSTANT: Duration = Duration::from_secs(2);
 
-/// Part of a node's places that drains the queue before that was observed.
-const LEAST_DRAIN: f64 = 0.5;
+/// Work per second that each of the node's slots drains at least, assumed until
+/// a higher rate is observed.
+const MIN_DRAIN_PER_SLOT: f64 = 0.5;
 
-/// Part of the rate that less urgent work gets at the least.
-const LEAST_PART: f64 = 0.1;
+/// Minimum fraction of the drain rate that less urgent requests get.
+const MIN_DRAIN_FRACTION: f64 = 0.1;
 
-/// Speed of the fastest endpoints relative to the mean of a service.
-const FASTEST: f64 = 2.0;
+/// Speed of the fastest endpoints, relative to the service's mean.
+const MAX_RELATIVE_SPEED: f64 = 2.0;
 
 fn seconds(value: f64) -> Duration {
     Duration::from_secs_f64(value.clamp(0.0, 3600.0))
