--- a/lib/src/quota.rs
+++ b/lib/src/quota.rs
@@ -1,10 +1,11 @@
-//! Quotas of workspaces, for all nodes together.
+//! Workspace quotas, enforced by all nodes together.
 //!
-//! Every node keeps its own copy of each workspace's token bucket and takes
-//! off what the others say they admitted. As long as the rest covers what they
-//! may have admitted since, a node admits freely; after that it uses only its
-//! part of the rest between two messages, by its part of the demand, so that
-//! several nodes do not use the same units.
+//! Every node keeps a copy of each workspace's token bucket and deducts what
+//! the other nodes report as admitted. While the remaining units cover what the
+//! others may have admitted since their last reports, a node admits freely.
+//! Beyond that it uses, between two reports, no more than its share of the
+//! remaining units, in proportion to its part of the demand, so that nodes do
+//! not use the same units twice.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,122 +18,127 @@
     time,
 };
 
-/// Part of the demand that is taken as equal between the nodes, so that a
+/// Fraction of each share that is split equally between the nodes, so that a
 /// node without recent demand can admit a first request.
-const EQUAL_PART: f64 = 0.2;
+const EQUAL_FRACTION: f64 = 0.2;
 
-/// Time over which demand is averaged.
-const DEMAND_SPAN: Duration = Duration::from_secs(3);
+/// Time constant of the averaged demand.
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(3);
 
-/// Time without a message after which a node is taken to use its whole part.
-const SILENCE: Duration = Duration::from_millis(1500);
+/// Time without a report after which a node is assumed to use its whole share.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Part of the bucket that a node which knows nothing of the past starts with;
-/// the rest may have been used before.
-const INITIAL_PART: f64 = 0.1;
+/// Fraction of the bucket that a node without knowledge of the past starts
+/// with; the rest may already have been used.
+const COLD_START_FRACTION: f64 = 0.1;
 
-/// Time after which a node has heard what the others use.
-const SETTLED: Duration = Duration::from_secs(5);
+/// Time after which a node has received the usage of the other nodes.
+const SETTLING_TIME: Duration = Duration::from_secs(5);
 
-/// Part of the rate below which a workspace's demand leaves its bucket full.
-const UNDER_PART: f64 = 0.8;
+/// Fraction of the rate below which a workspace's demand leaves its bucket
+/// full.
+const LOW_DEMAND_FRACTION: f64 = 0.8;
 
-/// Part of the tolerated excess that is used; the rest covers what nodes admit
-/// before they hear of each other.
-const EXCESS_PART: f64 = 0.5;
+/// Fraction of the tolerated excess that is used; the rest covers what nodes
+/// admit before they receive each other's reports.
+const USED_EXCESS_FRACTION: f64 = 0.5;
 
-/// Part of the tolerated part that the rate takes.
-const STEADY_PART: f64 = 0.2;
+/// Fraction of the relative tolerance that is added to the rate.
+const RATE_TOLERANCE_FRACTION: f64 = 0.2;
 
-/// Part of the burst that the bucket takes at the least.
-const LEAST_BUCKET: f64 = 0.5;
+/// Minimum size of the bucket, as a fraction of the burst.
+const MIN_BUCKET_FRACTION: f64 = 0.5;
 
-/// Part of the bucket that must be left for a request larger than it.
-const LARGE_PART: f64 = 0.5;
+/// Fraction of the bucket that must be available for a request larger than
+/// that.
+const LARGE_REQUEST_FRACTION: f64 = 0.5;
 
-/// Shortest and longest time that a refused caller is told to stay away.
-const WAIT: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
+/// Minimum and maximum `retry_after` of a refusal.
+const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
 
-/// What operators tolerate beyond a quota.
+/// Use beyond a quota that operators tolerate.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tolerance {
-    /// Part of rate and burst.
+    /// Tolerated excess as a fraction of rate and burst.
     pub part: f64,
-    /// Units beyond that, in each window.
+    /// Further tolerated units in each window.
     pub excess: f64,
-    /// The window; zero if a quota is a plain bucket.
+    /// The window over which use is measured. If it is zero, a quota is a plain
+    /// token bucket without tolerance.
     pub window: Duration,
 }
 
 impl Tolerance {
     /// Returns the rate and the size of a workspace's bucket.
     ///
-    /// A workspace that asks for more all the time gets in each window what
-    /// rate and burst give it, and a little of what is tolerated; the bucket
-    /// takes the rest.
+    /// A workspace with constant excess demand gets in each window what rate
+    /// and burst allow, plus a small part of the tolerance; the bucket's size
+    /// takes up the rest.
     fn bucket(&self, quota: &Quota) -> (f64, f64) {
         if self.window.is_zero() {
             return (quota.rate, quota.burst);
         }
         let window = self.window.as_secs_f64();
-        let steady = (quota.rate + quota.burst / window) * (1.0 + self.part * STEADY_PART);
+        let sustained =
+            (quota.rate + quota.burst / window) * (1.0 + self.part * RATE_TOLERANCE_FRACTION);
         let excess = match quota.unit {
-            Unit::Tokens { .. } => self.excess * EXCESS_PART,
+            Unit::Tokens { .. } => self.excess * USED_EXCESS_FRACTION,
             Unit::Requests => 0.0,
         };
-        let whole = (quota.rate * window + quota.burst) * (1.0 + self.part) + excess;
-        let size = (whole - steady * window).max(quota.burst * LEAST_BUCKET);
-        ((whole - size) / window, size)
+        let window_total = (quota.rate * window + quota.burst) * (1.0 + self.part) + excess;
+        let size = (window_total - sustained * window).max(quota.burst * MIN_BUCKET_FRACTION);
+        ((window_total - size) / window, size)
     }
 }
 
-/// What one node tells the others about one workspace.
+/// Use of one workspace at one node, as reported to the others.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
     /// Units admitted since the node's process started.
     pub admitted: f64,
-    /// Units asked for a second, admitted or not.
+    /// Requested units per second, whether admitted or not.
     pub demand: f64,
 }
 
-/// Why a request was not admitted.
+/// Figures on which the refusal of a request is based.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Exhausted {
-    /// Units that are left to all nodes.
+    /// Units left for all nodes.
     pub level: f64,
-    /// Units that this node used since it told the others.
+    /// Units that this node admitted since its last report to the others.
     pub fresh: f64,
-    /// This node's part of what is left.
+    /// This node's share of the remaining units.
     pub share: f64,
-    /// Part of the rate that is left to nodes which are not heard.
+    /// Fraction of the rate reserved for nodes whose reports have stopped.
     pub silent: f64,
-    /// Time after which units may be free again.
+    /// Time after which units may be available again.
     pub retry_after: Duration,
 }
 
 /// Use of one workspace at this node, and its copy of the bucket.
 #[derive(Clone, Debug, Default)]
 struct Account {
-    /// Units that are left; below zero after a large request.
+    /// Remaining units; negative after a large request.
     level: Option<f64>,
     refilled: time::Instant,
-    /// Rate and size, as they were used last.
+    /// Rate and size of the bucket at the last request.
     bucket: (f64, f64),
     own: Usage,
-    measured: time::Instant,
-    /// Units admitted since the others were told.
-    fresh: f64,
+    demand_updated: time::Instant,
+    /// Units admitted since the last report to the others.
+    unreported: f64,
 }
 
 impl Account {
     fn decay(&mut self, now: time::Instant) {
-        let idle = now.since(self.measured).as_secs_f64();
-        self.own.demand *= (-idle / DEMAND_SPAN.as_secs_f64()).exp();
-        self.measured = now;
+        let idle = now.since(self.demand_updated).as_secs_f64();
+        self.own.demand *= (-idle / DEMAND_TIME_CONSTANT.as_secs_f64()).exp();
+        self.demand_updated = now;
     }
 
-    /// Brings the bucket up to date; `silent` is the part of the rate that is
-    /// left to nodes which are not heard.
+    /// Refills the bucket for the time since the last refill and returns its
+    /// level. `silent` is the fraction of the rate reserved for silent nodes,
+    /// `initial` the fraction of the size that an unused bucket starts with.
     fn refill(&mut self, now: time::Instant, silent: f64, initial: f64) -> f64 {
         let idle = now.since(self.refilled).as_secs_f64();
         self.refilled = now;
@@ -146,37 +152,37 @@
         level
     }
 
-    /// Takes off what another node admitted; a bucket that was not used yet
-    /// starts low instead.
-    fn take_off(&mut self, now: time::Instant, units: f64) {
+    /// Deducts what another node admitted. A bucket that was not used yet is
+    /// left alone; it starts low instead.
+    fn deduct(&mut self, now: time::Instant, units: f64) {
         if self.level.is_some() {
             self.level = Some(self.refill(now, 0.0, 0.0) - units);
         }
     }
 }
 
-/// What another node last said.
+/// The last report of another node.
 #[derive(Clone, Debug, Default)]
 struct Peer {
     incarnation: u64,
     heard: time::Instant,
-    /// Whether it was not heard for so long that its part is left to it.
+    /// Whether its reports have stopped for so long that its share is reserved.
     silent: bool,
     usage: BTreeMap<id::Workspace, Usage>,
 }
 
-/// The quotas as one node sees them.
+/// One node's view of all quotas.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     tolerance: Tolerance,
-    /// When other nodes were first known.
+    /// Time at which the list of nodes was first set.
     started: Option<time::Instant>,
     accounts: BTreeMap<id::Workspace, Account>,
     peers: BTreeMap<id::Node, Peer>,
 }
 
 impl Ledger {
-    /// Builds the ledger of a node that knows of no other.
+    /// Creates the ledger of a node that knows no other nodes.
     #[must_use]
     pub fn new(tolerance: Tolerance) -> Self {
         Self {
@@ -185,12 +191,12 @@
         }
     }
 
-    /// Takes over a changed tolerance.
+    /// Replaces the tolerance.
     pub fn agree(&mut self, tolerance: Tolerance) {
         self.tolerance = tolerance;
     }
 
-    /// Takes over which other nodes there are.
+    /// Sets the other nodes of the cluster.
     pub fn join(&mut self, now: time::Instant, nodes: &[id::Node]) {
         self.started.get_or_insert(now);
         let nodes: BTreeSet<&id::Node> = nodes.iter().collect();
@@ -206,8 +212,8 @@
         }
     }
 
-    /// Takes over what another node says; `incarnation` differs between two
-    /// processes of it.
+    /// Applies another node's report. `incarnation` differs between processes
+    /// of the same node.
     pub fn hear(
         &mut self,
         now: time::Instant,
@@ -215,20 +221,21 @@
         incarnation: u64,
         usage: BTreeMap<id::Workspace, Usage>,
     ) {
-        let left = self.left_to(now, node);
+        let reserved = self.reserved_for(now, node);
         let peer = self.peers.entry(node.clone()).or_default();
-        let known = peer.incarnation == incarnation;
-        // The first message of a process that is not known may be old.
-        let first = peer.incarnation == 0;
-        for (workspace, told) in &usage {
+        let same_process = peer.incarnation == incarnation;
+        // The first report from a node may cover units that were admitted long
+        // ago.
+        let first_report = peer.incarnation == 0;
+        for (workspace, reported) in &usage {
             let before = match peer.usage.get(workspace) {
-                Some(before) if known => before.admitted,
-                _ if first => told.admitted,
+                Some(before) if same_process => before.admitted,
+                _ if first_report => reported.admitted,
                 _ => 0.0,
             };
             let account = self.accounts.entry(workspace.clone()).or_default();
-            let left = left.get(workspace).copied().unwrap_or_default();
-            account.take_off(now, (told.admitted - before - left).max(0.0));
+            let reserved = reserved.get(workspace).copied().unwrap_or_default();
+            account.deduct(now, (reported.admitted - before - reserved).max(0.0));
         }
         peer.incarnation = incarnation;
         peer.heard = now;
@@ -236,45 +243,47 @@
         peer.usage = usage;
     }
 
-    /// Returns what was left to a silent node since it was heard.
-    fn left_to(&self, now: time::Instant, node: &id::Node) -> BTreeMap<id::Workspace, f64> {
-        let mut left = BTreeMap::new();
+    /// Returns the units reserved for a silent node since its last report, by
+    /// workspace.
+    fn reserved_for(&self, now: time::Instant, node: &id::Node) -> BTreeMap<id::Workspace, f64> {
+        let mut reserved = BTreeMap::new();
         let Some(peer) = self.peers.get(node).filter(|peer| peer.silent) else {
-            return left;
+            return reserved;
         };
         let span = now.since(peer.heard).as_secs_f64();
         for (workspace, account) in &self.accounts {
             let share = self.share(workspace, peer, account.own.demand);
-            left.insert(workspace.clone(), account.bucket.0 * share * span);
+            reserved.insert(workspace.clone(), account.bucket.0 * share * span);
         }
-        left
+        reserved
     }
 
-    /// Takes off what nodes that became silent may have used meanwhile.
-    fn watch_silence(&mut self, now: time::Instant) {
+    /// Marks nodes whose reports have stopped as silent and deducts what they
+    /// may have used since their last report.
+    fn mark_silent_peers(&mut self, now: time::Instant) {
         let mut silent = Vec::new();
         for (name, peer) in &mut self.peers {
-            if !peer.silent && now.since(peer.heard) > SILENCE {
+            if !peer.silent && now.since(peer.heard) > SILENCE_TIMEOUT {
                 peer.silent = true;
                 silent.push(name.clone());
             }
         }
         for name in silent {
-            for (workspace, units) in self.left_to(now, &name) {
+            for (workspace, units) in self.reserved_for(now, &name) {
                 if let Some(account) = self.accounts.get_mut(&workspace) {
-                    account.take_off(now, units);
+                    account.deduct(now, units);
                 }
             }
         }
     }
 
-    /// Returns what this node tells the others from here on.
+    /// Returns this node's usage for the next report to the others.
     pub fn usage(&mut self, now: time::Instant) -> BTreeMap<id::Workspace, Usage> {
-        self.watch_silence(now);
+        self.mark_silent_peers(now);
         let mut usage = BTreeMap::new();
         for (name, account) in &mut self.accounts {
             account.decay(now);
-            account.fresh = 0.0;
+            account.unreported = 0.0;
             usage.insert(name.clone(), account.own);
         }
         usage
@@ -284,7 +293,7 @@
     ///
     /// # Errors
     ///
-    /// Fails with what the refusal is based on.
+    /// Fails with the figures on which the refusal is based.
     pub fn admit(
         &mut self,
         now: time::Instant,
@@ -296,49 +305,53 @@
         let cost = cost as f64;
         let account = self.accounts.entry(workspace.clone()).or_default();
         account.decay(now);
-        account.own.demand += cost / DEMAND_SPAN.as_secs_f64();
+        account.own.demand += cost / DEMAND_TIME_CONSTANT.as_secs_f64();
         let demand = account.own.demand;
         let (share, silent) = self.shares(workspace, demand);
-        let unheard = self.unheard(now, workspace);
+        let peer_admissions = self.unreported_by_peers(now, workspace);
         let bucket = self.tolerance.bucket(quota);
-        let initial = self.initial(now, workspace, bucket.0);
+        let initial = self.initial_fraction(now, workspace, bucket.0);
         let account = self.accounts.entry(workspace.clone()).or_default();
         account.bucket = bucket;
         let level = account.refill(now, silent, initial);
-        // What was used since the others were told is off the level already.
-        let left = level + account.fresh;
-        let enough = level - unheard >= cost;
-        let due = level >= cost.min(bucket.1 * LARGE_PART) && account.fresh < left * share;
-        if !enough && !due {
+        // `level` no longer contains what was admitted since the last report.
+        let level_at_report = level + account.unreported;
+        let covered = level - peer_admissions >= cost;
+        let within_share = level >= cost.min(bucket.1 * LARGE_REQUEST_FRACTION)
+            && account.unreported < level_at_report * share;
+        if !covered && !within_share {
             let missing = (cost - level).max(0.0) / bucket.0.max(1.0);
-            let wait = Duration::try_from_secs_f64(missing).unwrap_or(WAIT.1);
+            let wait = Duration::try_from_secs_f64(missing).unwrap_or(RETRY_AFTER.1);
             return Err(Exhausted {
                 level,
-                fresh: account.fresh,
+                fresh: account.unreported,
                 share,
                 silent,
-                retry_after: wait.clamp(WAIT.0, WAIT.1),
+                retry_after: wait.clamp(RETRY_AFTER.0, RETRY_AFTER.1),
             });
         }
         account.level = Some(level - cost);
-        account.fresh += cost;
+        account.unreported += cost;
         account.own.admitted += cost;
         Ok(())
     }
 
-    /// Returns the part of a bucket that is there when this node uses it for
-    /// the first time.
-    fn initial(&self, now: time::Instant, workspace: &id::Workspace, rate: f64) -> f64 {
-        let known = self.started.is_some_and(|start| now.since(start) > SETTLED);
+    /// Returns the fraction of the bucket that is available when this node
+    /// first uses it.
+    fn initial_fraction(&self, now: time::Instant, workspace: &id::Workspace, rate: f64) -> f64 {
+        let settled = self
+            .started
+            .is_some_and(|start| now.since(start) > SETTLING_TIME);
         let (demand, _) = self.demand(workspace, 0.0);
-        if known && demand < rate * UNDER_PART {
+        if settled && demand < rate * LOW_DEMAND_FRACTION {
             return 1.0;
         }
-        INITIAL_PART
+        COLD_START_FRACTION
     }
 
-    /// Returns what the others may have admitted since they were heard.
-    fn unheard(&self, now: time::Instant, workspace: &id::Workspace) -> f64 {
+    /// Returns the units that the other nodes may have admitted since their
+    /// last reports.
+    fn unreported_by_peers(&self, now: time::Instant, workspace: &id::Workspace) -> f64 {
         let mut units = 0.0;
         for peer in self.peers.values() {
             if peer.silent {
@@ -349,8 +362,7 @@
         units
     }
 
-    /// Returns this node's part of the demand, and the part of nodes that are
-    /// not heard.
+    /// Returns this node's share, and the share of the silent nodes.
     fn shares(&self, workspace: &id::Workspace, own: f64) -> (f64, f64) {
         let mut silent = 0.0;
         for peer in self.peers.values() {
@@ -359,16 +371,16 @@
             }
         }
         let (total, nodes) = self.demand(workspace, own);
-        (part(own, total, nodes), silent)
+        (demand_share(own, total, nodes), silent)
     }
 
-    /// Returns another node's part of the demand; `own` is this node's.
+    /// Returns another node's share; `own` is this node's demand.
     fn share(&self, workspace: &id::Workspace, peer: &Peer, own: f64) -> f64 {
         let (total, nodes) = self.demand(workspace, own);
-        part(peer.demand(workspace), total, nodes)
+        demand_share(peer.demand(workspace), total, nodes)
     }
 
-    /// Returns the demand of all nodes, and their number.
+    /// Returns the demand of all nodes and their number.
     fn demand(&self, workspace: &id::Workspace, own: f64) -> (f64, f64) {
         let others = self.peers.values().map(|peer| peer.demand(workspace));
         let nodes = u32::try_from(self.peers.len() + 1).unwrap_or(u32::MAX);
@@ -382,8 +394,8 @@
     }
 }
 
-/// Returns the part of the rate for this demand.
-fn part(demand: f64, total: f64, nodes: f64) -> f64 {
+/// Returns the share for this demand.
+fn demand_share(demand: f64, total: f64, nodes: f64) -> f64 {
     let part = (demand / total.max(f64::MIN_POSITIVE)).clamp(0.0, 1.0);
-    EQUAL_PART / nodes + (1.0 - EQUAL_PART) * part
+    EQUAL_FRACTION / nodes + (1.0 - EQUAL_FRACTION) * part
 }
--- a/lib/tests/test_quota.rs
+++ b/lib/tests/test_quota.rs
@@ -1,4 +1,4 @@
-//! Quotas of workspaces, as several nodes keep them together.
+//! Workspace quotas, shared by several nodes.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -10,7 +10,7 @@
 };
 use rstest::rstest;
 
-/// Window over which operators measure.
+/// Window over which operators measure use.
 const WINDOW_MS: u64 = 8000;
 
 const TOLERANCE: Tolerance = Tolerance {
@@ -31,7 +31,7 @@
     time::Instant::from_micros(millis * 1000)
 }
 
-/// Several ledgers that hear each other's beats.
+/// Ledgers of several nodes that exchange reports.
 struct Fleet {
     names: Vec<id::Node>,
     ledgers: Vec<Ledger>,
@@ -68,8 +68,8 @@
         self.join(index, millis);
     }
 
-    /// Exchanges beats between nodes for which `linked` holds.
-    fn beat(&mut self, millis: u64, linked: impl Fn(usize, usize) -> bool) {
+    /// Exchanges reports between the nodes for which `linked` returns true.
+    fn exchange_reports(&mut self, millis: u64, linked: impl Fn(usize, usize) -> bool) {
         for from in 0..self.ledgers.len() {
             let usage = self.ledgers[from].usage(at(millis));
             for to in 0..self.ledgers.len() {
@@ -81,7 +81,7 @@
         }
     }
 
-    fn ask(&mut self, index: usize, millis: u64, quota: &Quota, cost: u64) -> bool {
+    fn request(&mut self, index: usize, millis: u64, quota: &Quota, cost: u64) -> bool {
         let workspace = id::Workspace::from("w");
         let admitted = self.ledgers[index].admit(at(millis), &workspace, quota, cost);
         if admitted.is_ok() {
@@ -90,14 +90,14 @@
         admitted.is_ok()
     }
 
-    fn most_in_a_window(&self) -> u64 {
-        let mut most = 0;
+    fn max_in_a_window(&self) -> u64 {
+        let mut highest = 0;
         for (start, _) in &self.admitted {
             let window = *start..start + WINDOW_MS;
             let within = self.admitted.iter().filter(|(at, _)| window.contains(at));
-            most = most.max(within.map(|(_, cost)| cost).sum());
+            highest = highest.max(within.map(|(_, cost)| cost).sum());
         }
-        most
+        highest
     }
 }
 
@@ -108,11 +108,11 @@
 )]
 fn allowed(quota: &Quota) -> u64 {
     let window = TOLERANCE.window.as_secs_f64();
-    let usual = quota.rate * window + quota.burst;
-    (usual * (1.0 + TOLERANCE.part) + TOLERANCE.excess) as u64
+    let within_quota = quota.rate * window + quota.burst;
+    (within_quota * (1.0 + TOLERANCE.part) + TOLERANCE.excess) as u64
 }
 
-/// Pattern: one workspace sends many times its usual, most of it to one node,
+/// One workspace asks for many times its quota, in one case mostly at one node,
 /// with a large request from time to time.
 #[rstest]
 #[case::even(8, false)]
@@ -124,7 +124,7 @@
     for step in 0..4000_u64 {
         let millis = step * 10;
         if millis % 100 == 0 {
-            fleet.beat(millis, |_, _| true);
+            fleet.exchange_reports(millis, |_, _| true);
         }
         let index = if uneven && step % 4 != 0 {
             0
@@ -132,18 +132,22 @@
             usize::try_from(step).unwrap() % nodes
         };
         let cost = if step % 97 == 0 { 50_000 } else { 3000 };
-        fleet.ask(index, millis, &quota, cost);
+        fleet.request(index, millis, &quota, cost);
     }
-    let most = fleet.most_in_a_window();
-    assert!(most <= allowed(&quota), "{most} of {}", allowed(&quota));
+    let highest = fleet.max_in_a_window();
     assert!(
-        most >= 480_000,
-        "the rate is used while more is asked: {most}"
+        highest <= allowed(&quota),
+        "{highest} of {}",
+        allowed(&quota)
+    );
+    assert!(
+        highest >= 480_000,
+        "the rate is used while more is asked: {highest}"
     );
 }
 
-/// Pattern: the workspace sends half of its quota, in requests of very unlike
-/// size; nothing is refused.
+/// A workspace that uses half of its quota, in requests of very different
+/// sizes, is never refused.
 #[test]
 fn a_usual_workspace_is_not_refused() {
     let quota = quota(300_000.0);
@@ -151,18 +155,19 @@
     for step in 0..4000_u64 {
         let millis = step * 10;
         if millis % 100 == 0 {
-            fleet.beat(millis, |_, _| true);
+            fleet.exchange_reports(millis, |_, _| true);
         }
         let cost = if step % 50 == 0 { 30_000 } else { 1000 };
         // The buckets fill within the first second.
         let index = usize::try_from(step % 8).unwrap();
-        let admitted = fleet.ask(index, millis, &quota, cost);
+        let admitted = fleet.request(index, millis, &quota, cost);
         assert!(admitted || millis < 1500, "refused at {millis} ms");
     }
 }
 
-/// Found on the trouble days: all processes were killed, and a whole window
-/// was admitted once more (2199009 of 2178073).
+/// All processes restart, and with an empty history they must not admit a whole
+/// window once more. The fault was first seen as 2199009 units admitted of
+/// 2178073.
 #[test]
 fn restarts_of_all_nodes_do_not_renew_a_quota() {
     let quota = quota(226_000.0);
@@ -170,21 +175,25 @@
     for step in 0..4000_u64 {
         let millis = step * 5;
         if millis % 100 == 0 {
-            fleet.beat(millis, |_, _| true);
+            fleet.exchange_reports(millis, |_, _| true);
         }
         if millis == 10_000 {
             for index in 0..8 {
                 fleet.restart(index, millis);
             }
         }
-        fleet.ask(usize::try_from(step % 8).unwrap(), millis, &quota, 6000);
+        fleet.request(usize::try_from(step % 8).unwrap(), millis, &quota, 6000);
     }
-    let most = fleet.most_in_a_window();
-    assert!(most <= allowed(&quota), "{most} of {}", allowed(&quota));
+    let highest = fleet.max_in_a_window();
+    assert!(
+        highest <= allowed(&quota),
+        "{highest} of {}",
+        allowed(&quota)
+    );
 }
 
-/// Pattern: a data centre is cut off while the workspace sends too much to
-/// both sides.
+/// A data centre is cut off while the workspace exceeds its quota on both sides
+/// of the partition.
 #[test]
 fn both_sides_of_a_cut_keep_the_quota_together() {
     let quota = quota(60_000.0);
@@ -192,13 +201,17 @@
     for step in 0..6000_u64 {
         let millis = step * 5;
         if millis % 100 == 0 {
-            let cut = (10_000..20_000).contains(&millis);
-            fleet.beat(millis, |from, to| !cut || (from < 3) == (to < 3));
+            let partitioned = (10_000..20_000).contains(&millis);
+            fleet.exchange_reports(millis, |from, to| !partitioned || (from < 3) == (to < 3));
         }
-        fleet.ask(usize::try_from(step % 8).unwrap(), millis, &quota, 3000);
+        fleet.request(usize::try_from(step % 8).unwrap(), millis, &quota, 3000);
     }
-    let most = fleet.most_in_a_window();
-    assert!(most <= allowed(&quota), "{most} of {}", allowed(&quota));
+    let highest = fleet.max_in_a_window();
+    assert!(
+        highest <= allowed(&quota),
+        "{highest} of {}",
+        allowed(&quota)
+    );
 }
 
 #[test]
@@ -238,28 +251,28 @@
     assert!((usage[&workspace].admitted - 300.0).abs() < 1e-9);
 }
 
-/// Pattern: many nodes that hear of each other seldom, and a workspace that
-/// uses half of its quota; found on the grown site, where a second request
-/// between two beats was refused.
+/// Many nodes rarely receive each other's reports, and a workspace uses half of
+/// its quota. A second request between two reports must not be refused, as it
+/// was in a large deployment.
 #[test]
 fn nodes_with_old_news_admit_what_the_quota_covers() {
     let quota = quota(300_000.0);
     let mut fleet = Fleet::new(87);
     for step in 0..1500_u64 {
-        // Traffic starts some seconds after the nodes.
+        // Traffic starts a few seconds after the nodes.
         let millis = 9600 + step * 20;
         if millis % 1200 == 0 {
-            fleet.beat(millis, |_, _| true);
+            fleet.exchange_reports(millis, |_, _| true);
         }
-        // Two requests come to a node in a row.
+        // Each node gets two requests in a row.
         let index = usize::try_from(step / 2 % 87).unwrap();
-        let admitted = fleet.ask(index, millis, &quota, 3000);
+        let admitted = fleet.request(index, millis, &quota, 3000);
         assert!(admitted, "refused at {millis} ms");
     }
 }
 
-/// Found by the tests of the chain: with nothing tolerated the bucket had no
-/// size, and nothing was admitted.
+/// Without any tolerance the bucket once had size zero, and nothing was
+/// admitted.
 #[rstest]
 #[case(Tolerance::default())]
 #[case(Tolerance { window: Duration::from_millis(WINDOW_MS), ..Tolerance::default() })]
