--- a/lib/src/budget.rs
+++ b/lib/src/budget.rs
@@ -1,39 +1,39 @@
-//! Budget of repeated sends, the same for all nodes together.
+//! Retry budget, enforced by all nodes together.
 //!
-//! Every node keeps a part of its own, so that no message is needed: what its
-//! own requests earn, and an equal part of the fixed allowance.
+//! Nodes need not exchange messages for it: each has what its own requests earn
+//! and an equal part of the fixed allowance.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use crate::{id, time};
 
-/// Part of the earned repeats that is used, which leaves room for requests
-/// that were counted at the edge of a window.
-const EARNED_PART: f64 = 0.75;
+/// Fraction of the earned retries that is used; the rest covers requests
+/// counted at the edge of a window.
+const EARNED_FRACTION: f64 = 0.75;
 
-/// Part of the fixed allowance that may be used at once; as much again comes
-/// back within a window.
-const ALLOWANCE_PART: f64 = 0.4;
+/// Fraction of the fixed allowance that may be used at once; the same amount is
+/// refilled within one window.
+const ALLOWANCE_FRACTION: f64 = 0.4;
 
-/// What an operator allows.
+/// Limits on retries set by the operator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
-    /// Repeats for each request.
+    /// Retries earned by each request.
     pub ratio: f64,
-    /// Repeats beyond these in a window, all nodes together.
+    /// Further retries in each window, for all nodes together.
     pub allowance: f64,
     /// Length of the window.
     pub window: Duration,
 }
 
-/// Repeats that one service has left.
+/// Remaining retries of one service.
 #[derive(Clone, Copy, Debug)]
 struct Account {
     level: f64,
     refilled: time::Instant,
 }
 
-/// The node's part of the budget, by service.
+/// This node's part of the retry budget, by service.
 #[derive(Clone, Debug)]
 pub struct Budget {
     terms: Terms,
@@ -42,7 +42,7 @@
 }
 
 impl Budget {
-    /// Builds a budget of a node that knows of no other.
+    /// Creates the budget of a node that knows no other nodes.
     #[must_use]
     pub fn new(terms: Terms) -> Self {
         Self {
@@ -52,25 +52,25 @@
         }
     }
 
-    /// Takes over changed terms.
+    /// Replaces the operator's limits.
     pub fn agree(&mut self, terms: Terms) {
         self.terms = terms;
     }
 
-    /// Takes over the number of nodes that share the allowance.
+    /// Sets the number of nodes that share the allowance.
     pub fn share(&mut self, nodes: usize) {
         self.nodes = f64::from(u32::try_from(nodes.max(1)).unwrap_or(u32::MAX));
     }
 
-    /// Records a request that is sent for the first time.
+    /// Records the first attempt of a request, which earns a part of a retry.
     pub fn earn(&mut self, now: time::Instant, service: &id::Service) {
-        let earned = self.terms.ratio * EARNED_PART;
+        let earned = self.terms.ratio * EARNED_FRACTION;
         let cap = self.cap() + earned * self.terms.window.as_secs_f64();
         let account = self.account(now, service);
         account.level = (account.level + earned).min(cap);
     }
 
-    /// Takes one repeat; false if none is left.
+    /// Takes one retry from the budget. Returns false if none is left.
     pub fn spend(&mut self, now: time::Instant, service: &id::Service) -> bool {
         let account = self.account(now, service);
         if account.level < 1.0 {
@@ -80,9 +80,9 @@
         true
     }
 
-    /// Returns the part of the allowance that the node may use at once.
+    /// Returns the part of the allowance that this node may use at once.
     fn cap(&self) -> f64 {
-        self.terms.allowance * ALLOWANCE_PART / self.nodes
+        self.terms.allowance * ALLOWANCE_FRACTION / self.nodes
     }
 
     fn account(&mut self, now: time::Instant, service: &id::Service) -> &mut Account {
--- a/lib/src/crash.rs
+++ b/lib/src/crash.rs
@@ -1,7 +1,8 @@
-//! Finds the requests that crash the endpoints they run on.
+//! Detects requests that crash the endpoints they run on.
 //!
 //! A request whose connection broke shortly before its endpoint was found dead
-//! was in flight at that death; what that means is [`crate::quarantine`]'s.
+//! counts as in flight at that death. [`crate::quarantine`] decides what
+//! follows from it.
 
 use std::time::Duration;
 
@@ -11,14 +12,14 @@
     time,
 };
 
-/// Time between the break of a connection and the finding that its endpoint is
-/// dead, at the most.
-const DEATH_SPAN: Duration = Duration::from_secs(3);
+/// Maximum time between a broken connection and the detection that its endpoint
+/// is dead.
+const MAX_DETECTION_DELAY: Duration = Duration::from_secs(3);
 
-/// Time for which a new mark is told to the other nodes.
-const SPREAD: Duration = Duration::from_secs(2);
+/// Time for which a new mark is sent to the other nodes.
+const MARK_SEND_TIME: Duration = Duration::from_secs(2);
 
-/// Breaks that are remembered at the most.
+/// Maximum number of broken connections kept.
 const MAX_BREAKS: usize = 1000;
 
 /// A connection that broke with a request in flight.
@@ -29,16 +30,16 @@
     at: time::Instant,
 }
 
-/// What one node knows of crashing requests.
+/// One node's record of requests that may crash endpoints.
 #[derive(Clone, Debug, Default)]
 pub struct Watch {
     marks: Marks,
     breaks: Vec<Break>,
-    fresh: Vec<(id::Fingerprint, time::Instant)>,
+    unshared: Vec<(id::Fingerprint, time::Instant)>,
 }
 
 impl Watch {
-    /// Returns whether the request was in flight at the deaths of endpoints.
+    /// Returns what is known about whether the request crashes endpoints.
     #[must_use]
     pub fn verdict(&self, now: time::Instant, fingerprint: id::Fingerprint) -> Verdict {
         self.marks.verdict(now, fingerprint)
@@ -51,7 +52,8 @@
         endpoint: &id::Endpoint,
         fingerprint: id::Fingerprint,
     ) {
-        self.breaks.retain(|known| now.since(known.at) < DEATH_SPAN);
+        self.breaks
+            .retain(|connection| now.since(connection.at) < MAX_DETECTION_DELAY);
         if self.breaks.len() < MAX_BREAKS {
             self.breaks.push(Break {
                 endpoint: endpoint.clone(),
@@ -61,40 +63,40 @@
         }
     }
 
-    /// Records that an endpoint is dead; returns the number of requests that
+    /// Records the death of an endpoint and returns the number of requests that
     /// were in flight there.
     pub fn died(&mut self, now: time::Instant, endpoint: &id::Endpoint) -> usize {
         let mut suspects = Vec::new();
-        self.breaks.retain(|known| {
-            if known.endpoint != *endpoint {
+        self.breaks.retain(|connection| {
+            if connection.endpoint != *endpoint {
                 return true;
             }
-            if now.since(known.at) < DEATH_SPAN {
-                suspects.push(known.fingerprint);
+            if now.since(connection.at) < MAX_DETECTION_DELAY {
+                suspects.push(connection.fingerprint);
             }
             false
         });
         for fingerprint in &suspects {
             for mark in self.marks.death(now, *fingerprint, endpoint) {
-                self.fresh.push((mark, now + SPREAD));
+                self.unshared.push((mark, now + MARK_SEND_TIME));
             }
         }
         suspects.len()
     }
 
-    /// Records that a request was answered whole.
+    /// Records that a request was answered completely.
     pub fn answered(&mut self, now: time::Instant, fingerprint: id::Fingerprint) {
         self.marks.answered(now, fingerprint);
     }
 
-    /// Returns the marks to be told to the other nodes.
+    /// Returns the marks to send to the other nodes, with their validity.
     pub fn fresh(&mut self, now: time::Instant) -> Vec<(id::Fingerprint, Duration)> {
-        self.fresh.retain(|(_, until)| *until > now);
-        let marks = self.fresh.iter();
+        self.unshared.retain(|(_, until)| *until > now);
+        let marks = self.unshared.iter();
         marks.map(|(mark, _)| (*mark, MARK_TTL)).collect()
     }
 
-    /// Takes over another node's mark.
+    /// Applies a mark received from another node.
     pub fn hear(&mut self, now: time::Instant, mark: id::Fingerprint, valid: Duration) {
         self.marks.mark(now, mark, valid);
     }
--- a/lib/tests/test_budget.rs
+++ b/lib/tests/test_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of repeated sends, summed over all nodes.
+//! The retry budget, summed over all nodes.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     time::Instant::from_micros(millis * 1000)
 }
 
-/// Pattern: every request fails and asks to be sent again, at all nodes.
+/// Every request fails and needs a retry, at all nodes.
 #[rstest]
 #[case(1, 100)]
 #[case(8, 20)]
@@ -30,13 +30,13 @@
         budget.share(nodes);
     }
     let mut sent = Vec::new();
-    let mut repeated = Vec::new();
+    let mut retried = Vec::new();
     for millis in (0..60_000).step_by(usize::try_from(1000 / per_second).unwrap()) {
         for budget in &mut budgets {
             budget.earn(at(millis), &service);
             sent.push(millis);
             if budget.spend(at(millis), &service) {
-                repeated.push(millis);
+                retried.push(millis);
             }
         }
     }
@@ -48,10 +48,10 @@
         #[expect(clippy::cast_precision_loss, reason = "counts are small")]
         let allowed = within(&sent) as f64 * TERMS.ratio + TERMS.allowance;
         #[expect(clippy::cast_precision_loss, reason = "counts are small")]
-        let used = within(&repeated) as f64;
+        let used = within(&retried) as f64;
         assert!(used <= allowed, "{used} of {allowed} from {start} ms");
     }
-    assert!(!repeated.is_empty(), "some repeats are allowed");
+    assert!(!retried.is_empty(), "no retry was allowed");
 }
 
 #[test]
--- a/lib/tests/test_crash.rs
+++ b/lib/tests/test_crash.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the endpoints they run on.
+//! Detection of requests that crash endpoints.
 
 use std::time::Duration;
 
