--- a/lib/src/placement.rs
+++ b/lib/src/placement.rs
@@ -1,4 +1,4 @@
-//! Where a waiting request can go.
+//! Choice of an endpoint for a waiting request.
 
 use crate::{
     balance::{Candidate, Policy},
@@ -11,35 +11,38 @@
     window::FIRST_TOKEN,
 };
 
-/// Where a waiting request can go.
+/// Choice of an endpoint for a waiting request.
 pub(crate) enum Place {
-    /// To this endpoint.
+    /// At this endpoint.
     At(Slot),
-    /// To none now.
+    /// No endpoint has room now.
     Full,
-    /// To none at all.
+    /// No endpoint can ever take it.
     Nowhere,
 }
 
 impl Scheduler {
-    /// Returns where a waiting request can go.
+    /// Chooses an endpoint for a waiting request.
     pub(crate) fn place(&mut self, now: time::Instant, request: id::Request) -> Place {
         let Some(waiting) = self.waiting.get(&request) else {
             return Place::Full;
         };
-        let mut suited = self.candidates(now, waiting);
+        let mut suitable = self.candidates(now, waiting);
         let profile = &waiting.profile;
         let remaining = profile.remaining(now);
         let output = profile.output.0;
-        if suited.iter().any(|each| each.is_in_time(output, remaining)) {
-            suited.retain(|each| each.is_in_time(output, remaining));
+        if suitable
+            .iter()
+            .any(|candidate| candidate.is_in_time(output, remaining))
+        {
+            suitable.retain(|candidate| candidate.is_in_time(output, remaining));
         }
-        let fits = |each: &Candidate| each.fits(profile.tier, waiting.cost);
+        let fits = |candidate: &Candidate| candidate.fits(profile.tier, waiting.cost);
         let (mut fitting, full): (Vec<Candidate>, Vec<Candidate>) =
-            suited.into_iter().partition(fits);
+            suitable.into_iter().partition(fits);
         if fitting.is_empty() {
-            let place = self.without_room(waiting);
-            self.note_limits(&full);
+            let place = self.full_or_nowhere(waiting);
+            self.record_limiting_windows(&full);
             return place;
         }
         let prefixes = &waiting.profile.prefixes;
@@ -50,11 +53,12 @@
         let terms = self.settings.terms(now, self.members.len());
         let first = prefixes.first().copied();
         let chosen = terms.choose(&mut self.rng, &mut self.turn, &fitting, first);
-        self.note_limits(&full);
+        self.record_limiting_windows(&full);
         chosen.map_or(Place::Full, |candidate| Place::At(candidate.slot))
     }
 
-    /// Returns the candidates among a service's endpoints.
+    /// Returns the endpoints of the service that could take the request,
+    /// whether or not their windows have room.
     pub(crate) fn candidates(&self, now: time::Instant, waiting: &Waiting) -> Vec<Candidate> {
         let profile = &waiting.profile;
         let terms = self.settings.terms(now, self.members.len());
@@ -69,8 +73,8 @@
             if waiting.avoided.contains(&member.record.id) {
                 continue;
             }
-            let naive = terms.policy == Policy::RoundRobin;
-            if !naive && member.window.prefill(member.pending) > FIRST_TOKEN {
+            let windowless = terms.policy == Policy::RoundRobin;
+            if !windowless && member.window.prefill(member.pending) > FIRST_TOKEN {
                 continue;
             }
             candidates.push(terms.candidate(profile.tier, slot, member));
@@ -78,8 +82,8 @@
         candidates
     }
 
-    /// Tells whether a request that fits nowhere now can ever be placed.
-    fn without_room(&self, waiting: &Waiting) -> Place {
+    /// Returns whether a request that fits nowhere now may be placed later.
+    fn full_or_nowhere(&self, waiting: &Waiting) -> Place {
         let profile = &waiting.profile;
         for &slot in self.fleet.of_service(&profile.service) {
             let Some(member) = self.fleet.get(slot) else {
@@ -93,10 +97,11 @@
         Place::Nowhere
     }
 
-    /// Records that the windows of these endpoints keep work waiting.
-    fn note_limits(&mut self, full: &[Candidate]) {
-        for each in full {
-            if let Some(member) = self.fleet.get_mut(each.slot) {
+    /// Records that the windows of these endpoints are keeping requests
+    /// waiting.
+    fn record_limiting_windows(&mut self, full: &[Candidate]) {
+        for candidate in full {
+            if let Some(member) = self.fleet.get_mut(candidate.slot) {
                 member.window.limited();
             }
         }
--- a/lib/src/suspects.rs
+++ b/lib/src/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that may crash the endpoints they run on: marks and isolation.
+//! Handling of requests that may crash endpoints: marks and isolated runs.
 
 use std::time::Duration;
 
@@ -16,19 +16,19 @@
     time,
 };
 
-/// Time that a suspect waits before it runs, so that the probe of the endpoint
-/// that it may have crashed is over and its result is known at every node.
-const SUSPECT_SETTLE: Duration = Duration::from_millis(1250);
+/// Minimum time that a suspect waits before it runs, so that the probe of the
+/// endpoint that it may have crashed has ended and every node knows the result.
+const SUSPECT_DELAY: Duration = Duration::from_millis(1250);
 
-/// Time to come back for a suspect that does not fit.
-const SUSPECT_RETRY: Duration = Duration::from_secs(10);
+/// `retry_after` of a suspect for which the isolation queue has no room.
+const SUSPECT_RETRY_AFTER: Duration = Duration::from_secs(10);
 
-/// Deaths of other endpoints in the span up to which a death speaks against
-/// the requests in flight.
+/// Maximum number of other endpoints that died within `DEATH_SPAN` at which a
+/// death still marks the requests in flight.
 const MAX_OTHER_DEATHS: usize = 1;
 
 impl Scheduler {
-    /// Takes over marks of suspects from a peer.
+    /// Applies marks received from a peer.
     pub(crate) fn suspect(&mut self, now: time::Instant, marks: Vec<(id::Fingerprint, Duration)>) {
         for (mark, valid) in marks {
             self.marks.mark(now, mark, valid);
@@ -36,17 +36,18 @@
         self.refuse_confirmed(now);
     }
 
-    /// Lets a suspect wait for an endpoint of its own.
+    /// Queues a suspect until an endpoint can be reserved for it.
     pub(crate) fn isolate(&mut self, now: time::Instant, request: id::Request, waiting: Waiting) {
         let service = waiting.profile.service.clone();
         if !self.isolation.push(&service, request) {
-            return self.refuse(request, Reason::Quarantine, SUSPECT_RETRY);
+            return self.refuse(request, Reason::Quarantine, SUSPECT_RETRY_AFTER);
         }
         self.waiting.insert(request, waiting);
         self.pump(now, &service);
     }
 
-    /// Admits the suspect that waits longest once its endpoint is empty.
+    /// Admits the longest-waiting suspect once the endpoint reserved for it is
+    /// empty.
     pub(crate) fn pump_suspects(&mut self, now: time::Instant, service: &id::Service) {
         self.refuse_stranded(now, service);
         let Some(line) = self.isolation.lines.get(service) else {
@@ -55,7 +56,7 @@
         let Some(&request) = line.requests.front() else {
             return;
         };
-        if !self.is_settled(now, request) {
+        if !self.has_waited_for_marks(now, request) {
             return;
         }
         let Some(slot) = line.slot.or_else(|| self.reserve(now, request)) else {
@@ -64,7 +65,7 @@
         if let Some(line) = self.isolation.lines.get_mut(service) {
             line.slot = Some(slot);
         }
-        if !self.keeps(request, slot) {
+        if !self.is_reservation_valid(request, slot) {
             return self.unreserve(service, slot);
         }
         let empty = |member: &Member| member.requests == 0;
@@ -75,7 +76,7 @@
     }
 
     /// Returns whether a reserved endpoint can still serve its suspect.
-    fn keeps(&self, request: id::Request, slot: Slot) -> bool {
+    fn is_reservation_valid(&self, request: id::Request, slot: Slot) -> bool {
         let Some(waiting) = self.waiting.get(&request) else {
             return false;
         };
@@ -88,7 +89,7 @@
         })
     }
 
-    /// Gives a reserved endpoint back.
+    /// Cancels the reservation of an endpoint.
     fn unreserve(&mut self, service: &id::Service, slot: Slot) {
         if let Some(member) = self.fleet.get_mut(slot) {
             member.reserved = None;
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Returns the suspect of the lowest tier that waits for the service.
+    /// Returns the waiting suspect of the lowest tier for a service.
     pub(crate) fn lowest_suspect(&self, service: &id::Service) -> Option<(id::Tier, id::Request)> {
         let mut lowest = None;
         let line = self.isolation.lines.get(service);
@@ -109,14 +110,14 @@
         lowest
     }
 
-    /// Returns whether what other nodes know of a suspect has had the time to
-    /// arrive.
-    fn is_settled(&self, now: time::Instant, request: id::Request) -> bool {
+    /// Returns whether a suspect has waited long enough for the other nodes'
+    /// marks to arrive.
+    fn has_waited_for_marks(&self, now: time::Instant, request: id::Request) -> bool {
         let waiting = self.waiting.get(&request);
-        waiting.is_some_and(|waiting| now.since(waiting.profile.received) >= SUSPECT_SETTLE)
+        waiting.is_some_and(|waiting| now.since(waiting.profile.received) >= SUSPECT_DELAY)
     }
 
-    /// Refuses the suspects that no endpoint is left for.
+    /// Refuses suspects whose service has no usable endpoint left.
     fn refuse_stranded(&mut self, now: time::Instant, service: &id::Service) {
         let mut stranded = Vec::new();
         let line = self.isolation.lines.get(service);
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Refuses the suspects that turned out to crash endpoints.
+    /// Refuses suspects that are now confirmed to crash endpoints.
     fn refuse_confirmed(&mut self, now: time::Instant) {
         let mut confirmed = Vec::new();
         for line in self.isolation.lines.values() {
@@ -152,8 +153,8 @@
         }
     }
 
-    /// Marks the requests that were in flight at an endpoint's death, unless
-    /// so many die that the network must be at fault.
+    /// Marks the requests that were in flight at an endpoint's death, unless so
+    /// many endpoints died that the network is the likely cause.
     pub(crate) fn died(&mut self, now: time::Instant, slot: Slot) {
         self.deaths.insert(slot, now);
         let mut others = 0;
@@ -181,13 +182,13 @@
         self.refuse_confirmed(now);
     }
 
-    /// Reserves an endpoint that could take a suspect.
+    /// Reserves an endpoint for a suspect.
     fn reserve(&mut self, now: time::Instant, request: id::Request) -> Option<Slot> {
         let waiting = self.waiting.get(&request)?;
         let candidates = self.candidates(now, waiting);
         let fingerprint = waiting.profile.fingerprint;
-        // Different suspects prefer different endpoints, so that nodes that
-        // do not know of each other's seldom run two of them together.
+        // Different suspects prefer different endpoints, so that nodes unaware
+        // of each other's suspects seldom run two on the same endpoint.
         let mut best = None;
         for candidate in &candidates {
             let Some(member) = self.fleet.get(candidate.slot) else {
