--- a/lib/src/endpoint.rs
+++ b/lib/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints as the host list and their own reports describe them.
+//! Endpoints as described by the host list and by their own reports.
 
 use std::collections::BTreeSet;
 
@@ -7,20 +7,20 @@
 
 use crate::{id, size};
 
-/// Whether an endpoint may get new work.
+/// Whether an endpoint may get new requests.
 #[derive(Clone, Copy, Debug, Display, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Standing {
-    /// The endpoint takes new work.
+    /// The endpoint takes new requests.
     #[default]
     #[display("live")]
     Live,
-    /// The endpoint finishes what it has and gets nothing new.
+    /// The endpoint is draining: it finishes its requests and gets no new ones.
     #[display("leaving")]
     Leaving,
 }
 
-/// One endpoint of the host list.
+/// Entry of an endpoint in the host list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// Its name, unique in the host list.
@@ -31,43 +31,44 @@
     pub service: id::Service,
     /// The data centre that it runs in.
     pub data_centre: id::DataCentre,
-    /// Whether it may get new work.
+    /// Whether it may get new requests.
     pub standing: Standing,
-    /// Requests that it runs at once, if it is known.
+    /// Number of requests that it runs at once, if known.
     pub places: Option<u32>,
 }
 
-/// What an endpoint last said of its own load.
+/// Load that an endpoint last reported about itself.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Requests that it runs.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait inside it.
+    /// Requests queued inside the endpoint.
     pub waiting: u32,
     /// Tokens held by its running requests.
     pub tokens: size::Tokens,
-    /// Models and adapters that it has loaded; empty if it does not say.
+    /// Loaded models and adapters; empty if it does not report them.
     pub models: BTreeSet<id::Model>,
-    /// Whether it says of itself that it is leaving.
+    /// Whether it reports itself as leaving.
     pub standing: Standing,
 }
 
-/// One event of an endpoint's prefix cache.
+/// An event of an endpoint's prefix cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Cache {
-    /// Number of the event; a jump by more than one is a gap.
+    /// Sequence number; an increase by more than one means that events were
+    /// lost.
     pub sequence: u64,
-    /// What happened.
+    /// What changed.
     pub change: Change,
 }
 
 /// A change of a prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The prefix is held now.
+    /// The prefix was added.
     Stored(id::Prefix),
-    /// The prefix is held no more.
+    /// The prefix was removed.
     Removed(id::Prefix),
-    /// Nothing is held any more.
+    /// All prefixes were removed.
     Cleared,
 }
--- a/lib/src/plan.rs
+++ b/lib/src/plan.rs
@@ -1,4 +1,4 @@
-//! The configuration of a gateway as a whole: routes, services, workspaces.
+//! Configuration of the gateway: routes, services and workspaces.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -9,25 +9,26 @@
 
 use crate::{id, route};
 
-/// Everything that an operator sets, in one generation.
+/// The complete configuration set by the operator, in one generation.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Its number; higher replaces lower.
+    /// Its generation; a higher one replaces a lower one.
     pub generation: id::Generation,
     /// The routes.
     pub routes: route::Table,
     /// The services.
     pub services: BTreeMap<id::Service, Service>,
-    /// The workspaces; none if callers need no key.
+    /// The workspaces; `None` if callers need no key.
     pub workspaces: Option<Workspaces>,
-    /// Limits towards callers.
+    /// Limits on requests and connections of callers.
     pub limits: Limits,
 }
 
 /// One service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Connections that one endpoint accepts from all nodes together.
+    /// Maximum number of connections that one endpoint accepts from all nodes
+    /// together.
     pub connections: u32,
     /// Whether its endpoints are model engines.
     pub engine: bool,
@@ -38,45 +39,45 @@
 pub struct Workspaces {
     /// The workspaces by name.
     pub names: BTreeMap<id::Workspace, Workspace>,
-    /// Whose key it is.
+    /// The workspace that each key belongs to.
     pub keys: HashMap<String, id::Workspace>,
 }
 
 /// One workspace.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Workspace {
-    /// Tier that replaces the one of the route.
+    /// Tier of its requests, instead of the route's.
     pub tier: Option<id::Tier>,
-    /// What all its requests together may use.
+    /// Quota shared by all its requests.
     pub quota: Option<Quota>,
 }
 
-/// What counts against a quota.
+/// Unit that a quota is counted in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Unit {
-    /// Each request counts one.
+    /// Each request costs one unit.
     Requests,
-    /// Tokens of prompt and longest answer; a request that tells none counts
-    /// as `plain`.
+    /// Each request costs its prompt tokens and its maximum answer tokens. A
+    /// request without token counts costs `plain`.
     Tokens {
-        /// Tokens of a request that tells none.
+        /// Cost of a request without token counts, in tokens.
         plain: u64,
     },
 }
 
-/// Limit on the use of all nodes together.
+/// Limit on a workspace's use of all nodes together, as a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Quota {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// Units beyond the rate at any moment.
+    /// Size of the bucket: units that may be used at once.
     pub burst: f64,
-    /// What is counted.
+    /// Unit that is counted.
     pub unit: Unit,
 }
 
 impl Quota {
-    /// Returns the units that a request with these tokens uses.
+    /// Returns the cost in units of a request with this many tokens.
     #[must_use]
     pub fn cost(&self, tokens: Option<u64>) -> u64 {
         match self.unit {
@@ -86,16 +87,16 @@
     }
 }
 
-/// Limits towards callers.
+/// Limits on requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Size of a request's head, bytes.
+    /// Maximum size of a request's head, in bytes.
     pub head: usize,
-    /// Size of a request's body, bytes.
+    /// Maximum size of a request's body, in bytes.
     pub body: usize,
-    /// Time for a request to arrive.
+    /// Maximum time in which a request must arrive completely.
     pub receive: Duration,
-    /// Time that a connection may stay idle.
+    /// Maximum time that a connection may stay idle.
     pub idle: Duration,
 }
 
--- a/lib/src/refusal.rs
+++ b/lib/src/refusal.rs
@@ -1,16 +1,16 @@
-//! Why a request was refused, and what a caller may conclude from it.
+//! Reasons for which requests are refused, and what callers may conclude.
 
 use std::time::Duration;
 
 use derive_more::Display;
 
-/// Whether the request can have run.
+/// Whether the request may have run.
 ///
-/// For a call with an idempotency key this speaks of every attempt with that
-/// key, not of the last attempt alone.
+/// For a call with an idempotency key, this covers every attempt with that key,
+/// not only the last one.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 pub enum Run {
-    /// Nothing was handed to an endpoint.
+    /// The request was not sent to any endpoint.
     #[display("not-run")]
     NotRun,
     /// An endpoint may have run it.
@@ -18,10 +18,11 @@
     MayHaveRun,
 }
 
-/// Why the decision core refused a request.
+/// Reason for which the decision core refuses a request.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Reason {
-    /// The queue of its tier is full or it was evicted for a higher tier.
+    /// The queue of its tier is full, or it was evicted for a request of a
+    /// higher tier.
     #[display("overload")]
     Overload,
     /// It can't be answered before its deadline.
@@ -30,10 +31,10 @@
     /// Its service has no usable endpoint.
     #[display("no-endpoint")]
     NoEndpoint,
-    /// Its workspace is over its limit.
+    /// Its workspace has exceeded its limit.
     #[display("limit")]
     Limit,
-    /// It was in flight at the death of too many endpoints.
+    /// It was in flight when too many endpoints died.
     #[display("quarantine")]
     Quarantine,
     /// The node is shutting down.
@@ -44,8 +45,8 @@
 /// A refusal by the decision core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: Reason,
-    /// When the caller should come back.
+    /// Time after which the caller should retry.
     pub retry_after: Duration,
 }
--- a/lib/src/rendezvous.rs
+++ b/lib/src/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing: the same choice at every node without agreement.
+//! Rendezvous hashing: all nodes make the same choice without coordination.
 
 use xxhash_rust::xxh3;
 
@@ -10,7 +10,7 @@
     xxh3::xxh3_64_with_seed(node.as_str().as_bytes(), xxh3::xxh3_64(key.as_bytes()))
 }
 
-/// Returns the weight of an endpoint for a request's content.
+/// Returns the weight of an endpoint for a request fingerprint.
 #[must_use]
 pub fn endpoint_weight(fingerprint: id::Fingerprint, endpoint: &id::Endpoint) -> u64 {
     xxh3::xxh3_64_with_seed(endpoint.as_str().as_bytes(), fingerprint.0)
--- a/lib/src/route.rs
+++ b/lib/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes: which service serves a request, and how it may be treated.
+//! Routes: which service serves a request, and with which limits.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -7,26 +7,27 @@
 
 use crate::id;
 
-/// What may be sent again after an endpoint may have run it.
+/// What may be retried after an endpoint may have run the request.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Repeat {
-    /// Nothing: the request runs once at most.
+    /// Nothing: the request runs at most once.
     #[display("never")]
     Never,
     /// The whole request.
     #[display("whole")]
     Whole,
-    /// The rest of its stream, from the last event that was passed on.
+    /// The rest of its stream, starting after the last event passed to the
+    /// caller.
     #[display("resume")]
     Resume,
 }
 
-/// A service that a route leads to.
+/// A service that a route sends requests to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     /// The service.
     pub service: id::Service,
-    /// Its part of the requests, relative to the other targets.
+    /// Its share of the requests, relative to the other targets.
     pub weight: u32,
 }
 
@@ -35,37 +36,41 @@
 pub struct Route {
     /// Its name.
     pub name: id::Route,
-    /// Host that it belongs to, lower case, without a port.
+    /// Host that it applies to, in lower case and without a port.
     pub host: String,
-    /// Path that it begins with; starts and ends with a slash.
+    /// Path prefix that it applies to; starts and ends with a slash.
     pub prefix: String,
-    /// Where its requests go.
+    /// Services that its requests are split between.
     pub targets: Vec<Target>,
-    /// What may be sent again.
+    /// What may be retried.
     pub repeat: Repeat,
     /// Whether its answers are streams of events.
     pub streaming: bool,
-    /// Longest time that a caller is kept waiting.
+    /// Maximum time that a request may take.
     pub timeout: Duration,
-    /// Time to the first byte within which an answer is on time.
+    /// Maximum time to first byte of an answer that counts as on time.
     pub objective: Duration,
-    /// Longest pause between two events of a stream that is on time.
+    /// Maximum pause between two events of a stream that counts as on time.
     pub pause: Option<Duration>,
-    /// Time without an event after which callers abandon a stream.
+    /// Time without an event after which callers give up on a stream.
     pub patience: Option<Duration>,
     /// Its tier.
     pub tier: id::Tier,
-    /// Endpoints that one request may be sent to.
+    /// Maximum number of endpoints that one request is sent to.
     pub attempts: u32,
     /// Whether it serves callers without a key.
     pub anonymous: bool,
 }
 
 impl Route {
-    /// Returns the service for a request with this hash.
+    /// Returns the target service for a request hash.
     #[must_use]
     pub fn service(&self, hash: u64) -> Option<&id::Service> {
-        let total: u64 = self.targets.iter().map(|each| u64::from(each.weight)).sum();
+        let total: u64 = self
+            .targets
+            .iter()
+            .map(|target| u64::from(target.weight))
+            .sum();
         let mut point = hash.checked_rem(total)?;
         for target in &self.targets {
             let weight = u64::from(target.weight);
@@ -86,9 +91,9 @@
 }
 
 impl Table {
-    /// Returns the route of the longest prefix that the path begins with.
+    /// Returns the route with the longest prefix of the path.
     ///
-    /// `host` may carry a port.
+    /// `host` may include a port.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = match host.rsplit_once(':') {
--- a/lib/tests/test_estimate.rs
+++ b/lib/tests/test_estimate.rs
@@ -1,4 +1,4 @@
-//! Rates and waiting times.
+//! Averaged rates and estimated waiting times.
 #![allow(clippy::cast_precision_loss, reason = "figures are small")]
 
 mod property;
--- a/lib/tests/test_route.rs
+++ b/lib/tests/test_route.rs
@@ -1,4 +1,4 @@
-//! Choice of a route and of its service.
+//! Choice of a request's route and service.
 
 use std::time::Duration;
 
