--- a/gateway/src/dialect.rs
+++ b/gateway/src/dialect.rs
@@ -1,82 +1,83 @@
-//! How callers and endpoints write what the gateway needs to know.
+//! What the gateway needs to know from the headers of callers and endpoints.
 //!
-//! The gateway decides on the types of this module; an implementation
-//! translates them from and to headers and decides nothing.
+//! The gateway decides on the types of this module; an implementation only
+//! translates them from and to headers.
 
 use std::time::Duration;
 
 use dottereltally_lib::id;
 use http::{HeaderMap, HeaderValue};
 
-/// Why a head can't be understood; the text names the remedy.
+/// Why the headers of a request can't be understood; the text names the remedy.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct Malformed(pub String);
 
-/// What a caller says about a request.
+/// What the headers of a request say.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Head {
-    /// Identifies the attempt; endpoints repeat it.
+    /// Identifies the caller's attempt; endpoints repeat it in their answers.
     pub correlation: String,
-    /// Time that the caller goes on waiting.
+    /// Time for which the caller still waits.
     pub remaining: Option<Duration>,
-    /// Tokens of the prompt and of the longest answer.
+    /// Tokens of the prompt, and the most that the answer may have.
     pub tokens: Option<(u64, u64)>,
-    /// Tokens that the caller expects of the answer.
+    /// Tokens that the caller expects the answer to have.
     pub expected: Option<u64>,
     /// The caller's key.
     pub key: Option<String>,
-    /// Last event of the stream that the caller has.
+    /// Id of the last event that the caller already has of a stream.
     pub after: Option<u64>,
 }
 
-/// What an endpoint is told beside the caller's own headers.
+/// What an endpoint is told in addition to the caller's own headers.
 #[derive(Clone, Copy, Debug)]
 pub struct Forward<'a> {
     /// Time that is left for the answer.
     pub remaining: Duration,
-    /// The endpoint that is meant; another one at its address must not run it.
+    /// The chosen endpoint; if another one has its address now, that one must not
+    /// run the request.
     pub endpoint: &'a id::Endpoint,
     /// The caller's workspace.
     pub workspace: Option<&'a id::Workspace>,
-    /// Whether callers need keys, which are not passed on then.
+    /// Whether callers need keys, which are then not forwarded.
     pub keyed: bool,
-    /// Last event that the stream goes on after.
+    /// Id of the event after which the stream is resumed.
     pub after: Option<u64>,
 }
 
-/// What the head of an endpoint's answer says.
+/// What the headers of an endpoint's answer say.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answer {
-    /// The attempt that it answers.
+    /// Identifies the caller's attempt that it answers.
     pub correlation: Option<String>,
-    /// Whether it is marked as the endpoint's own, whole answer.
+    /// Whether the endpoint marked it as its own, whole answer.
     pub sealed: bool,
     /// Whether the endpoint says that it did not run the request.
     pub not_run: bool,
-    /// Requests that the endpoint runs and keeps waiting.
+    /// Requests that are running and waiting at the endpoint.
     pub load: Option<(u32, u32)>,
 }
 
-/// Translates heads.
+/// Translates headers from and to the types of this module.
 pub trait Dialect: Send + Sync + 'static {
-    /// Reads the head of a caller's request.
+    /// Reads the headers of a caller's request.
     ///
     /// # Errors
     ///
-    /// Fails if a header that decides about the request is missing, doubled or
+    /// Fails if a header that matters to the gateway is missing, repeated or
     /// unreadable.
     fn read(&self, headers: &HeaderMap) -> Result<Head, Malformed>;
 
     /// Returns the headers for an endpoint.
     fn forward(&self, headers: &HeaderMap, forward: &Forward<'_>) -> HeaderMap;
 
-    /// Reads the head of an endpoint's answer.
+    /// Reads the headers of an endpoint's answer.
     fn answer(&self, headers: &HeaderMap) -> Answer;
 
-    /// Marks a refusal with the attempt that it answers.
+    /// Adds the id of the caller's attempt to the headers of a refusal.
     fn refuse(&self, headers: &mut HeaderMap, correlation: &str);
 
-    /// Returns the time to come back as callers read it.
+    /// Returns the value of `Retry-After` in the format that callers expect.
     fn retry_after(&self, delay: Duration) -> HeaderValue;
 }
--- a/gateway/src/home.rs
+++ b/gateway/src/home.rs
@@ -1,9 +1,10 @@
-//! The home node of a data centre: it decides where the requests of all nodes
-//! there go, so that places are counted exactly and urgent work goes first
-//! whichever node it came to.
+//! The home node of a data centre: it chooses the endpoints for the requests of
+//! all nodes there, so that the places of endpoints are counted exactly and
+//! urgent requests go first, whichever node received them.
 //!
 //! Only decisions are delegated. The node that holds a caller's connection
-//! sends to the endpoint itself, and decides alone while it has no home.
+//! sends the request to the endpoint itself, and decides alone while it has no
+//! home.
 
 mod desk;
 mod link;
@@ -19,8 +20,9 @@
 };
 use crate::directory::Node;
 
-/// Orders the nodes of a data centre: the first one is the home. Larger hosts
-/// come first; among equals a hash decides, the same at every node.
+/// Ranks the nodes of a data centre that other nodes can call; the first one is
+/// the home. Larger hosts come first; a hash, the same at every node, breaks
+/// ties.
 #[must_use]
 pub fn rank<'a>(
     data_centre: &id::DataCentre,
--- a/gateway/src/home/wire.rs
+++ b/gateway/src/home/wire.rs
@@ -1,4 +1,5 @@
-//! Translates requests and decisions to and from messages between nodes.
+//! Encodes and decodes requests, decisions and outcomes for messages between
+//! nodes.
 
 use std::time::Duration;
 
@@ -9,7 +10,7 @@
     refusal::{self, Refusal},
     time,
 };
-use dottereltally_proto::gateway_capnp::{self, ask, decision, desk, refusal as answer};
+use dottereltally_proto::gateway_capnp::{self, ask, decision, desk, refusal as wire_refusal};
 
 use crate::beat::length;
 
@@ -64,7 +65,7 @@
         }
         Err(refusal) => {
             let mut wire = wire.init_refusal();
-            wire.set_reason(reason(refusal.reason));
+            wire.set_reason(write_reason(refusal.reason));
             wire.set_retry_micros(micros(refusal.retry_after));
         }
     }
@@ -89,7 +90,7 @@
     }
 }
 
-fn read_refusal(wire: answer::Reader<'_>) -> Result<Refusal, Error> {
+fn read_refusal(wire: wire_refusal::Reader<'_>) -> Result<Refusal, Error> {
     use gateway_capnp::Reason as Wire;
     let reason = match wire.get_reason()? {
         Wire::Overload => refusal::Reason::Overload,
@@ -105,7 +106,7 @@
     })
 }
 
-fn reason(reason: refusal::Reason) -> gateway_capnp::Reason {
+fn write_reason(reason: refusal::Reason) -> gateway_capnp::Reason {
     use gateway_capnp::Reason as Wire;
     match reason {
         refusal::Reason::Overload => Wire::Overload,
