--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -1,4 +1,5 @@
-//! The gate as the requests' tasks see it.
+//! Shares the gate between the tasks that serve requests, and lets the node's
+//! home decide while there is one.
 
 use std::{
     collections::HashMap,
@@ -16,36 +17,36 @@
 };
 use tokio::sync::{mpsc, oneshot};
 
-/// What the gate decides on a request.
+/// The chosen endpoint, or why the request is refused.
 pub type Decision = Result<Choice, Refusal>;
 
-/// What the node's home is told.
+/// A command to the node's home.
 #[derive(Debug)]
-pub enum Order {
-    /// A request needs an endpoint.
+pub enum Command {
+    /// Choose an endpoint for a request.
     Admit(id::Request, Ask, oneshot::Sender<Decision>),
-    /// The first byte of an answer came.
-    Start(id::Request),
-    /// A request ended at its endpoint, or does not wait any more.
+    /// The first byte of an answer arrived.
+    FirstByte(id::Request),
+    /// A request ended at its endpoint, or was withdrawn while it waited.
     End(id::Request, Outcome),
 }
 
-type Orders = mpsc::UnboundedSender<Order>;
+type Commands = mpsc::UnboundedSender<Command>;
 
 struct State {
     gate: Gate,
-    /// Takes orders to the home, while there is one.
-    home: Option<Orders>,
+    /// Sends commands to the home, while there is one.
+    home: Option<Commands>,
     waiting: HashMap<id::Request, oneshot::Sender<Decision>>,
 }
 
 struct Shared {
     state: Mutex<State>,
-    next: AtomicU64,
+    next_request: AtomicU64,
     clock: Clock,
 }
 
-/// Handle of the gate; clones share it.
+/// Handle of the gate; clones share the gate.
 #[derive(Clone)]
 pub struct Handle {
     shared: Arc<Shared>,
@@ -63,27 +64,28 @@
         Self {
             shared: Arc::new(Shared {
                 state: Mutex::new(state),
-                next: AtomicU64::new(1),
+                next_request: AtomicU64::new(1),
                 clock,
             }),
         }
     }
 
-    /// Waits until an endpoint is chosen, by the node's home if there is one.
+    /// Waits until an endpoint is chosen, by the node's home if there is one and
+    /// by this node's own gate otherwise.
     ///
     /// Dropping the future withdraws the request.
     ///
     /// # Errors
     ///
-    /// Fails with the refusal of who decided.
-    pub async fn admit(&self, ask: Ask) -> Result<(Choice, Place), Refusal> {
+    /// Fails with the refusal of the node that decided.
+    pub async fn admit(&self, ask: Ask) -> Result<(Choice, Permit), Refusal> {
         let home = self.lock().home.clone();
         if let Some(home) = home
-            && let Some(decided) = self.ask_home(home, ask.clone()).await
+            && let Some(decided) = self.admit_by_home(home, ask.clone()).await
         {
             return decided;
         }
-        self.decide(ask).await
+        self.admit_locally(ask).await
     }
 
     /// Waits until this node's own gate has chosen an endpoint.
@@ -93,34 +95,40 @@
     /// # Errors
     ///
     /// Fails with the gate's refusal.
-    pub async fn decide(&self, ask: Ask) -> Result<(Choice, Place), Refusal> {
-        let request = self.number();
+    pub async fn admit_locally(&self, ask: Ask) -> Result<(Choice, Permit), Refusal> {
+        let request = self.next_request_id();
         let (reply, decision) = oneshot::channel();
-        let place = self.place(request, None);
+        let permit = self.permit(request, None);
         self.lock().waiting.insert(request, reply);
         self.apply(|gate, now| gate.arrive(now, request, ask));
-        // The sender lives in the table until it is used.
+        // The sender stays in `waiting` until it is used.
         let Ok(decision) = decision.await else {
             unreachable!("a waiting request is decided on or withdrawn");
         };
         match decision {
-            Ok(choice) => Ok((choice, place)),
+            Ok(choice) => Ok((choice, permit)),
             Err(refusal) => {
-                place.forget();
+                permit.disarm();
                 Err(refusal)
             }
         }
     }
 
-    /// Has the home decide; none if it can't, or if its choice can't be used.
-    async fn ask_home(&self, home: Orders, ask: Ask) -> Option<Result<(Choice, Place), Refusal>> {
-        let request = self.number();
+    /// Lets the home decide; none if it can't, or if this node can't use the
+    /// endpoint that it chose.
+    async fn admit_by_home(
+        &self,
+        home: Commands,
+        ask: Ask,
+    ) -> Option<Result<(Choice, Permit), Refusal>> {
+        let request = self.next_request_id();
         let (reply, decision) = oneshot::channel();
-        home.send(Order::Admit(request, ask.clone(), reply)).ok()?;
-        // Dropping it takes the request back.
-        let place = self.place(request, Some(home.clone()));
+        home.send(Command::Admit(request, ask.clone(), reply))
+            .ok()?;
+        // Dropping the permit withdraws the request.
+        let permit = self.permit(request, Some(home.clone()));
         let Ok(decision) = decision.await else {
-            place.forget();
+            permit.disarm();
             return None;
         };
         match decision {
@@ -129,29 +137,33 @@
                 let mut state = self.lock();
                 // The link may have ended since the home decided.
                 let current = state.home.as_ref();
-                let linked = current.is_some_and(|current| current.same_channel(&home));
+                let delegated = current.is_some_and(|current| current.same_channel(&home));
                 let endpoint = &choice.endpoint;
-                if !state.gate.adopt(now, request, ask, endpoint, linked) {
+                if !state.gate.adopt(now, request, ask, endpoint, delegated) {
                     drop(state);
-                    tracing::info!(endpoint = %choice.endpoint, "the home's choice leaves: decided here");
+                    tracing::info!(
+                        endpoint = %choice.endpoint,
+                        "the endpoint chosen by the home takes no new requests: this node decides"
+                    );
                     return None;
                 }
-                Some(Ok((choice, place)))
+                Some(Ok((choice, permit)))
             }
             Err(refusal) => {
-                place.forget();
+                permit.disarm();
                 Some(Err(refusal))
             }
         }
     }
 
-    /// Takes over who decides: the home at the end of `orders`, or this node.
-    pub fn delegate(&self, orders: Option<Orders>) {
+    /// Sets who decides: the home that receives `commands`, or this node if there
+    /// is none.
+    pub fn set_home(&self, commands: Option<Commands>) {
         let mut state = self.lock();
-        if orders.is_none() {
+        if commands.is_none() {
             state.gate.reclaim();
         }
-        state.home = orders;
+        state.home = commands;
     }
 
     /// Returns whether a home decides for this node.
@@ -160,18 +172,19 @@
         self.lock().home.is_some()
     }
 
-    /// Counts this node's requests here again; returns them by endpoint.
+    /// Counts all requests of this node at its own gate again, also those that a
+    /// home decided on; returns the counts by endpoint.
     #[must_use]
     pub fn reclaim(&self) -> Vec<(id::Endpoint, Held)> {
         self.lock().gate.reclaim()
     }
 
-    fn number(&self) -> id::Request {
-        id::Request(self.shared.next.fetch_add(1, Ordering::Relaxed))
+    fn next_request_id(&self) -> id::Request {
+        id::Request(self.shared.next_request.fetch_add(1, Ordering::Relaxed))
     }
 
-    fn place(&self, request: id::Request, home: Option<Orders>) -> Place {
-        Place {
+    fn permit(&self, request: id::Request, home: Option<Commands>) -> Permit {
+        Permit {
             handle: self.clone(),
             request,
             home,
@@ -179,7 +192,7 @@
         }
     }
 
-    /// Changes the gate and carries out what follows.
+    /// Changes the gate and carries out the effects of the change.
     pub fn apply(
         &self,
         change: impl FnOnce(&mut Gate, dottereltally_lib::time::Instant) -> Vec<Effect>,
@@ -191,14 +204,14 @@
             match effect {
                 Effect::Send(request, choice) => {
                     let reply = state.waiting.remove(&request);
-                    let taken = reply.is_some_and(|reply| reply.send(Ok(choice)).is_ok());
-                    if !taken {
+                    let delivered = reply.is_some_and(|reply| reply.send(Ok(choice)).is_ok());
+                    if !delivered {
                         effects.extend(state.gate.withdraw(now, request));
                     }
                 }
                 Effect::Refuse(request, refusal) => {
                     if let Some(reply) = state.waiting.remove(&request) {
-                        // The caller may have left meanwhile.
+                        // The caller may have left in the meantime.
                         let _left = reply.send(Err(refusal));
                     }
                 }
@@ -206,7 +219,8 @@
         }
     }
 
-    /// Returns what this node tells the others from here on.
+    /// Returns this node's requests by endpoint, as it reports them to the other
+    /// nodes; the mean time between events is reported once.
     #[must_use]
     pub fn held(&self) -> Vec<(id::Endpoint, Held)> {
         self.lock().gate.held()
@@ -225,62 +239,63 @@
     }
 }
 
-/// A request's place in the queue, then at an endpoint; dropping it gives the
-/// place back.
-pub struct Place {
+/// A request's place in the queue, then at an endpoint; dropping it withdraws
+/// the request.
+pub struct Permit {
     handle: Handle,
     request: id::Request,
-    /// Takes orders to the home that decided, if it was one.
-    home: Option<Orders>,
+    /// Sends commands to the home, if the home decided.
+    home: Option<Commands>,
     ended: bool,
 }
 
-impl Place {
-    /// Returns whether the home decided.
+impl Permit {
+    /// Returns whether the home decided on the request.
     #[must_use]
     pub fn is_delegated(&self) -> bool {
         self.home.is_some()
     }
 
-    /// Records the first byte of the answer.
-    pub fn start(&self) {
+    /// Records that the first byte of the answer arrived.
+    pub fn record_first_byte(&self) {
         let request = self.request;
-        self.tell(Order::Start(request));
+        self.notify_home(Command::FirstByte(request));
         self.handle.apply(|gate, now| {
             gate.start(now, request);
             Vec::new()
         });
     }
 
-    /// Gives the place back.
+    /// Releases the place and records how the request ended.
     pub fn end(mut self, outcome: Outcome) {
         self.ended = true;
         let request = self.request;
-        self.tell(Order::End(request, outcome));
+        self.notify_home(Command::End(request, outcome));
         self.handle
             .apply(|gate, now| gate.end(now, request, outcome));
     }
 
-    /// Forgets a place that who decided has taken back.
-    fn forget(mut self) {
+    /// Drops the permit without effect: the node that decided has already
+    /// released the place.
+    fn disarm(mut self) {
         self.ended = true;
     }
 
-    fn tell(&self, order: Order) {
+    fn notify_home(&self, command: Command) {
         if let Some(home) = &self.home {
-            // A home that is gone has given the place back itself.
-            let _gone = home.send(order);
+            // A home that is gone has released the place itself.
+            let _gone = home.send(command);
         }
     }
 }
 
-impl Drop for Place {
+impl Drop for Permit {
     fn drop(&mut self) {
         if self.ended {
             return;
         }
         let request = self.request;
-        self.tell(Order::End(request, Outcome::Cancelled));
+        self.notify_home(Command::End(request, Outcome::Cancelled));
         self.handle.lock().waiting.remove(&request);
         self.handle.apply(|gate, now| gate.withdraw(now, request));
     }
--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one endpoint.
+//! Sends a request to one endpoint.
 
 use std::time::Duration;
 
@@ -23,20 +23,20 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::{
-    admission::Place,
-    chain::{Chain, Job, end_to_end},
+    admission::Permit,
+    chain::{Chain, Job, end_to_end_headers},
     dialect::{Dialect, Forward, Head},
     events::{Batch, Splitter},
 };
 
-/// Longest whole answer that is kept, bytes.
-const ANSWER_LIMIT: usize = 16 << 20;
+/// Largest answer that is buffered.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// Time for a first event beyond the expected one, after which a stream that
-/// may be resumed is given to another endpoint.
-const FIRST_SLACK: Duration = Duration::from_millis(900);
+/// Added to three times the expected time to the first event; a resumable
+/// stream that takes longer is sent to another endpoint.
+const FIRST_EVENT_SLACK: Duration = Duration::from_millis(900);
 
-/// What is sent to endpoints, whichever it is.
+/// The parts of a request that are the same for every endpoint.
 pub struct Template {
     method: Method,
     uri: Uri,
@@ -44,20 +44,21 @@
     body: Bytes,
     head: Head,
     workspace: Option<id::Workspace>,
-    keyed: bool,
+    keys_required: bool,
 }
 
 impl Template {
-    /// Builds a template from a caller's request.
+    /// Builds a template from a caller's request; `keys_required` tells whether
+    /// callers need keys.
     #[must_use]
     pub fn new(
         parts: request::Parts,
         body: Bytes,
         head: Head,
         workspace: Option<id::Workspace>,
-        keyed: bool,
+        keys_required: bool,
     ) -> Self {
-        let mut headers = end_to_end(parts.headers);
+        let mut headers = end_to_end_headers(parts.headers);
         headers.remove(CONTENT_LENGTH);
         let target = parts.uri.path_and_query().cloned();
         Self {
@@ -67,29 +68,31 @@
             body,
             head,
             workspace,
-            keyed,
+            keys_required,
         }
     }
 
-    /// Returns the last event that the caller said it has.
+    /// Returns the id of the last event that the caller already has.
     #[must_use]
-    pub fn after(&self) -> Option<u64> {
+    pub fn last_event_id(&self) -> Option<u64> {
         self.head.after
     }
 
+    /// Builds the message to an endpoint; a resumed stream goes on after
+    /// `last_event_id`.
     fn message(
         &self,
         dialect: &impl Dialect,
         endpoint: &id::Endpoint,
         remaining: Duration,
-        after: Option<u64>,
+        last_event_id: Option<u64>,
     ) -> Message {
         let forward = Forward {
             remaining,
             endpoint,
             workspace: self.workspace.as_ref(),
-            keyed: self.keyed,
-            after: after.or(self.head.after),
+            keyed: self.keys_required,
+            after: last_event_id.or(self.head.after),
         };
         let mut message = Request::new(Full::new(self.body.clone()));
         *message.method_mut() = self.method.clone();
@@ -100,76 +103,76 @@
     }
 }
 
-/// A whole answer.
-pub struct Whole {
-    /// Its head.
+/// An answer that was read to its end.
+pub struct Buffered {
+    /// Its status and headers.
     pub parts: response::Parts,
     /// Its body.
     pub body: Bytes,
 }
 
-/// A stream of which the first events have come.
+/// A stream whose first events have arrived.
 pub struct Stream {
-    /// Its head.
+    /// Its status and headers.
     pub parts: response::Parts,
     /// The first events.
     pub first: Batch,
-    /// What follows.
+    /// The rest of the stream.
     pub body: Answer,
-    /// Cuts it into events.
+    /// Splits the stream into events; holds the start of an unfinished one.
     pub splitter: Splitter,
-    /// The place at the endpoint.
-    pub place: Place,
+    /// The permit, not yet ended.
+    pub permit: Permit,
 }
 
-/// What became of a send.
+/// The result of a send.
 pub enum Attempt {
-    /// Nothing was handed over.
+    /// The endpoint could not be reached; nothing was sent.
     Unsent {
-        /// The place at the endpoint.
-        place: Place,
-        /// What the connection said.
+        /// The permit, not yet ended.
+        permit: Permit,
+        /// What went wrong.
         cause: String,
     },
-    /// The endpoint says that it did not run it.
+    /// The endpoint reported that it did not run the request.
     Rejected {
-        /// The place at the endpoint.
-        place: Place,
-        /// Its status.
+        /// The permit, not yet ended.
+        permit: Permit,
+        /// The status of its answer.
         status: StatusCode,
     },
-    /// The endpoint may have run it and gave no usable answer.
+    /// The endpoint may have run the request but gave no usable answer.
     Broken {
-        /// The place at the endpoint.
-        place: Place,
+        /// The permit, not yet ended.
+        permit: Permit,
         /// What went wrong.
         cause: String,
     },
-    /// The time was over.
+    /// The deadline passed.
     Expired {
-        /// The place at the endpoint.
-        place: Place,
+        /// The permit, not yet ended.
+        permit: Permit,
     },
-    /// The endpoint failed and says so.
+    /// The endpoint answered with a server error.
     Failed {
-        /// The place at the endpoint.
-        place: Place,
+        /// The permit, not yet ended.
+        permit: Permit,
         /// Its answer.
-        whole: Box<Whole>,
+        answer: Box<Buffered>,
     },
-    /// The endpoint answered.
-    Whole {
-        /// The place at the endpoint.
-        place: Place,
+    /// The endpoint gave any other whole answer.
+    Answered {
+        /// The permit, not yet ended.
+        permit: Permit,
         /// Its answer.
-        whole: Box<Whole>,
+        answer: Box<Buffered>,
     },
-    /// The endpoint began a stream.
+    /// The endpoint started a stream.
     Stream(Box<Stream>),
 }
 
 impl Attempt {
-    /// Returns the name of the failure, if it is one.
+    /// Returns the name of the failure in metrics and the log, if it is one.
     #[must_use]
     pub fn failure(&self) -> Option<&'static str> {
         match self {
@@ -178,39 +181,41 @@
             Self::Broken { .. } => Some("broken"),
             Self::Expired { .. } => Some("expired"),
             Self::Failed { .. } => Some("failed"),
-            Self::Whole { .. } | Self::Stream(_) => None,
+            Self::Answered { .. } | Self::Stream(_) => None,
         }
     }
 
-    /// Returns what went wrong.
+    /// Returns what went wrong, for the log.
     #[must_use]
     pub fn cause(&self) -> &str {
         match self {
             Self::Unsent { cause, .. } | Self::Broken { cause, .. } => cause,
             Self::Rejected { status, .. } => status.canonical_reason().unwrap_or_default(),
-            Self::Failed { whole, .. } => whole.parts.status.canonical_reason().unwrap_or_default(),
-            Self::Expired { .. } | Self::Whole { .. } | Self::Stream(_) => "",
+            Self::Failed { answer, .. } => {
+                answer.parts.status.canonical_reason().unwrap_or_default()
+            }
+            Self::Expired { .. } | Self::Answered { .. } | Self::Stream(_) => "",
         }
     }
 }
 
-/// Returns what a rejection says of the endpoint.
+/// Returns what the gate is told of a rejection with this status.
 #[must_use]
-pub fn rejection(status: StatusCode) -> Outcome {
+pub fn rejection_outcome(status: StatusCode) -> Outcome {
     if status == StatusCode::MISDIRECTED_REQUEST {
         return Outcome::Misdirected;
     }
     Outcome::Rejected
 }
 
-/// Sends a request to the chosen endpoint and waits for its answer, or for
-/// the first events of its stream.
+/// Sends a request to the chosen endpoint and waits for its whole answer, or
+/// for the first events of its stream.
 pub async fn send<D: Dialect>(
     chain: &Chain<D>,
     job: &Job,
     choice: &Choice,
-    after: Option<u64>,
-    place: Place,
+    last_event_id: Option<u64>,
+    permit: Permit,
 ) -> Attempt {
     let now = chain.clock.now();
     let remaining = job.deadline.since(now);
@@ -227,141 +232,151 @@
         others = choice.others,
         places = choice.places,
         waiting = choice.waiting,
-        delegated = place.is_delegated(),
+        delegated = permit.is_delegated(),
         expected_ms = crate::chain::millis(choice.first),
         waited_ms = crate::chain::millis(now.since(job.received)),
         left_ms = crate::chain::millis(remaining),
-        after,
+        after = last_event_id,
         "request sent"
     );
     let message = job
         .template
-        .message(&chain.dialect, &choice.endpoint, remaining, after);
-    let end = Instant::now() + remaining;
-    let limit = match first_limit(&job.route, choice) {
-        Some(first) => end.min(Instant::now() + first),
-        None => end,
+        .message(&chain.dialect, &choice.endpoint, remaining, last_event_id);
+    let deadline = Instant::now() + remaining;
+    let first_event_deadline = match first_event_timeout(&job.route, choice) {
+        Some(first) => deadline.min(Instant::now() + first),
+        None => deadline,
     };
     let sending = chain.upstream.send(&choice.address, message, Reuse::Idle);
-    let response = match timeout_at(limit, sending).await {
+    let response = match timeout_at(first_event_deadline, sending).await {
         Ok(Ok(response)) => response,
-        Ok(Err(Failure::Unsent { cause, .. })) => return Attempt::Unsent { place, cause },
+        Ok(Err(Failure::Unsent { cause, .. })) => return Attempt::Unsent { permit, cause },
         Ok(Err(Failure::Broken(broken))) => {
             let cause = broken.cause;
-            return Attempt::Broken { place, cause };
+            return Attempt::Broken { permit, cause };
         }
-        Err(_) => return silent(place, end),
+        Err(_) => return first_event_overdue(permit, deadline),
     };
-    receive(chain, job, choice, response, place, (limit, end)).await
+    read_answer(
+        chain,
+        job,
+        choice,
+        response,
+        permit,
+        (first_event_deadline, deadline),
+    )
+    .await
 }
 
-/// Returns the time for the first event of a stream that may go on elsewhere.
-fn first_limit(route: &Route, choice: &Choice) -> Option<Duration> {
+/// Returns the time limit for the first event of a stream that may be resumed
+/// at another endpoint; none for other requests.
+fn first_event_timeout(route: &Route, choice: &Choice) -> Option<Duration> {
     let resumable = route.repeat == Repeat::Resume && route.attempts > 1;
-    resumable.then(|| choice.first * 3 + FIRST_SLACK)
+    resumable.then(|| choice.first * 3 + FIRST_EVENT_SLACK)
 }
 
-fn silent(place: Place, end: Instant) -> Attempt {
-    if Instant::now() >= end {
-        return Attempt::Expired { place };
+/// Tells a passed deadline from an endpoint that is slower than expected.
+fn first_event_overdue(permit: Permit, deadline: Instant) -> Attempt {
+    if Instant::now() >= deadline {
+        return Attempt::Expired { permit };
     }
     let cause = "no first event in the expected time".to_owned();
-    Attempt::Broken { place, cause }
+    Attempt::Broken { permit, cause }
 }
 
-async fn receive<D: Dialect>(
+async fn read_answer<D: Dialect>(
     chain: &Chain<D>,
     job: &Job,
     choice: &Choice,
     response: Response<Answer>,
-    place: Place,
-    (limit, end): (Instant, Instant),
+    permit: Permit,
+    (first_event_deadline, deadline): (Instant, Instant),
 ) -> Attempt {
     let (mut parts, body) = response.into_parts();
-    let answer = chain.dialect.answer(&parts.headers);
-    if let Some((running, waiting)) = answer.load {
+    let head = chain.dialect.answer(&parts.headers);
+    if let Some((running, waiting)) = head.load {
         chain.admission.apply(|gate, now| {
             gate.report(now, &choice.endpoint, running, waiting);
             Vec::new()
         });
     }
-    if answer.not_run || parts.status == StatusCode::MISDIRECTED_REQUEST {
+    if head.not_run || parts.status == StatusCode::MISDIRECTED_REQUEST {
         let status = parts.status;
-        return Attempt::Rejected { place, status };
+        return Attempt::Rejected { permit, status };
     }
-    let broken = |place, cause: &str| Attempt::Broken {
-        place,
+    let broken = |permit, cause: &str| Attempt::Broken {
+        permit,
         cause: cause.to_owned(),
     };
-    if answer.correlation.as_deref() != Some(job.correlation.as_str()) {
-        return broken(place, "the answer belongs to another request");
+    if head.correlation.as_deref() != Some(job.correlation.as_str()) {
+        return broken(permit, "the answer belongs to another request");
     }
     let success = parts.status.is_success();
-    if success && !answer.sealed {
-        return broken(place, "the answer is not sealed by the endpoint");
+    if success && !head.sealed {
+        return broken(permit, "the answer is not sealed by the endpoint");
     }
     if parts.headers.contains_key(CONTENT_ENCODING) {
-        return broken(place, "the answer is encoded on the way");
+        return broken(permit, "the answer has a content encoding");
     }
     strip_hop(&mut parts.headers);
     if success && job.route.streaming && is_event_stream(&parts.headers) {
         parts.headers.remove(CONTENT_LENGTH);
-        return first_events(parts, body, place, (limit, end)).await;
+        return read_first_events(parts, body, permit, (first_event_deadline, deadline)).await;
     }
-    let reading = Limited::new(body, ANSWER_LIMIT).collect();
-    let body = match timeout_at(end, reading).await {
+    let receiving = Limited::new(body, MAX_ANSWER_BYTES).collect();
+    let body = match timeout_at(deadline, receiving).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) => {
             let cause = error.to_string();
-            return Attempt::Broken { place, cause };
+            return Attempt::Broken { permit, cause };
         }
-        Err(_) => return Attempt::Expired { place },
+        Err(_) => return Attempt::Expired { permit },
     };
-    let whole = Box::new(Whole { parts, body });
-    if whole.parts.status.is_server_error() {
-        return Attempt::Failed { place, whole };
+    let answer = Box::new(Buffered { parts, body });
+    if answer.parts.status.is_server_error() {
+        return Attempt::Failed { permit, answer };
     }
-    Attempt::Whole { place, whole }
+    Attempt::Answered { permit, answer }
 }
 
-async fn first_events(
+async fn read_first_events(
     parts: response::Parts,
     mut body: Answer,
-    place: Place,
-    (limit, end): (Instant, Instant),
+    permit: Permit,
+    (first_event_deadline, deadline): (Instant, Instant),
 ) -> Attempt {
     let mut splitter = Splitter::default();
     loop {
-        let frame = match timeout_at(limit, body.frame()).await {
+        let frame = match timeout_at(first_event_deadline, body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(error))) => {
                 let cause = error.cause;
-                return Attempt::Broken { place, cause };
+                return Attempt::Broken { permit, cause };
             }
             Ok(None) => {
                 let cause = "the stream ended before its first event".to_owned();
-                return Attempt::Broken { place, cause };
+                return Attempt::Broken { permit, cause };
             }
-            Err(_) => return silent(place, end),
+            Err(_) => return first_event_overdue(permit, deadline),
         };
         let Some(data) = frame.data_ref() else {
             continue;
         };
         match splitter.feed(data) {
             Ok(Some(first)) => {
-                place.start();
+                permit.record_first_byte();
                 return Attempt::Stream(Box::new(Stream {
                     parts,
                     first,
                     body,
                     splitter,
-                    place,
+                    permit,
                 }));
             }
             Ok(None) => {}
             Err(error) => {
                 let cause = error.to_string();
-                return Attempt::Broken { place, cause };
+                return Attempt::Broken { permit, cause };
             }
         }
     }
--- a/gateway/src/chain.rs
+++ b/gateway/src/chain.rs
@@ -1,4 +1,5 @@
-//! The steps that serve one request.
+//! Serves one request: checks it, finds its route, charges its quota, and sends
+//! it to endpoints until one answers.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -31,7 +32,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::{
-    admission::{self, Place},
+    admission::{self, Permit},
     attempt::{self, Attempt, Template},
     dialect::{Dialect, Head},
     metrics::Metrics,
@@ -39,40 +40,41 @@
     relay::Relay,
 };
 
-/// When to come back to a node without a plan.
-const PLAN_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Connections that are tried for one request before it is given up.
-const MAX_UNREACHABLE: u32 = 6;
-/// Time before a limit of the caller at which the answer must be on its way.
+/// Retry delay that callers are told if nothing better is known.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Failed connection attempts after which a request is given up.
+const MAX_CONNECT_FAILURES: u32 = 6;
+/// Subtracted from the caller's time limits, so that the answer reaches it in
+/// time.
 const ANSWER_MARGIN: Duration = Duration::from_millis(10);
 
-/// What the steps work with.
+/// The state that the steps of serving a request share.
 pub struct Chain<D> {
     /// The clock of the node.
     pub clock: Clock,
-    /// How heads are written.
+    /// Reads and writes the headers of callers and endpoints.
     pub dialect: D,
-    /// The plan in force.
+    /// The plan in force; none before the first one.
     pub plan: watch::Receiver<Option<Arc<Plan>>>,
-    /// The gate before the endpoints.
+    /// Chooses an endpoint for each request.
     pub admission: admission::Handle,
     /// Connections to the endpoints.
     pub upstream: Pool,
-    /// Quotas of the workspaces.
+    /// Quota usage of the workspaces.
     pub ledger: Mutex<Ledger>,
-    /// Budget of repeated sends.
+    /// Retry budget.
     pub budget: Mutex<Budget>,
-    /// What is known of requests that crash endpoints.
+    /// Finds requests that crash endpoints.
     pub crashes: Mutex<crash::Watch>,
-    /// The counters.
+    /// Metrics of the request path.
     pub metrics: Metrics,
-    /// Phases of a shutdown.
+    /// Phase of the shutdown.
     pub phase: Phase,
 }
 
-/// A request that may be sent to endpoints.
+/// An accepted request: routed, and charged against its quota.
 pub struct Job {
-    /// What the log calls it.
+    /// Identifies the caller's attempt; the `id` of its log lines.
     pub correlation: String,
     /// Its route.
     pub route: Arc<Route>,
@@ -84,20 +86,21 @@
     pub tier: id::Tier,
     /// Tokens of its prompt and of its expected answer.
     pub tokens: (u64, u64),
-    /// When it came in.
+    /// When it was received.
     pub received: time::Instant,
-    /// When its answer is of no more use.
+    /// When its answer is no longer of use.
     pub deadline: time::Instant,
     /// When the caller gives up without a first byte.
-    pub abandoned: time::Instant,
-    /// Hash of its content.
+    pub first_byte_deadline: time::Instant,
+    /// Equal when the same caller sends the same request again.
     pub fingerprint: id::Fingerprint,
-    /// What is sent to endpoints.
+    /// The message to endpoints, whichever is chosen.
     pub template: Template,
 }
 
 impl Job {
-    /// Returns what the gate needs to know.
+    /// Returns what the gate needs to know to choose an endpoint; `avoid` lists
+    /// those that were tried before.
     #[must_use]
     pub fn ask(&self, avoid: &[id::Endpoint]) -> Ask {
         Ask {
@@ -108,25 +111,25 @@
             output: self.tokens.1,
             pause: self.route.pause,
             due: self.received + self.route.objective,
-            first_by: self.abandoned,
+            first_by: self.first_byte_deadline,
             deadline: self.deadline,
             avoid: avoid.to_vec(),
         }
     }
 }
 
-/// How far a request got, for the final log line.
+/// How far a request got: decides about retries and is logged at the end.
 #[derive(Default)]
 pub struct Progress {
-    /// Endpoints that it was sent to.
-    pub avoid: Vec<id::Endpoint>,
-    /// Sends that arrived or may have.
+    /// Endpoints that were tried, also those that could not be reached.
+    pub tried: Vec<id::Endpoint>,
+    /// Sends that reached an endpoint or may have.
     pub sends: u32,
     /// Whether an endpoint may have run it.
     pub may_have_run: bool,
-    unreachable: u32,
-    /// Whether a unit of the budget was taken for the next send.
-    granted: bool,
+    connect_failures: u32,
+    /// Whether a unit of the retry budget was taken for the next send.
+    retry_granted: bool,
 }
 
 impl<D: Dialect> Chain<D> {
@@ -138,16 +141,19 @@
         let received = self.clock.now();
         let (parts, body) = request.into_parts();
         // A request whose length can be read in two ways may hide another one
-        // behind it; nothing more is read from its connection.
+        // behind it (request smuggling), so nothing more is read from the
+        // connection of a request with a transfer encoding.
         let chunked = parts.headers.contains_key(TRANSFER_ENCODING);
         let (mut response, close) = match self.dialect.read(&parts.headers) {
             Ok(head) => {
                 let correlation = head.correlation.clone();
-                let outcome = Arc::clone(&self).run(received, head, parts, body).await;
+                let outcome = Arc::clone(&self)
+                    .accept_and_send(received, head, parts, body)
+                    .await;
                 match outcome {
                     Ok(response) => (response, false),
                     Err(refused) => {
-                        self.tell_refusal(received, &correlation, &refused);
+                        self.record_refusal(received, &correlation, &refused);
                         let response = refused.response(&self.dialect, &correlation);
                         (response, refused.close)
                     }
@@ -159,7 +165,7 @@
                     Reason::Malformed,
                     fault.to_string(),
                 );
-                self.tell_refusal(received, "", &refused);
+                self.record_refusal(received, "", &refused);
                 (refused.response(&self.dialect, ""), true)
             }
         };
@@ -170,7 +176,8 @@
         response
     }
 
-    fn tell_refusal(&self, received: time::Instant, correlation: &str, refused: &Refused) {
+    /// Counts and logs a refusal.
+    fn record_refusal(&self, received: time::Instant, correlation: &str, refused: &Refused) {
         let problem = &refused.problem;
         self.metrics.refused(problem.reason(), problem.status());
         tracing::info!(
@@ -190,7 +197,7 @@
         plan.as_ref().map(|plan| plan.generation.0)
     }
 
-    async fn run<B>(
+    async fn accept_and_send<B>(
         self: Arc<Self>,
         received: time::Instant,
         head: Head,
@@ -204,7 +211,7 @@
         self.send(job).await
     }
 
-    /// Passes a request through the steps before it is sent.
+    /// Checks, routes and charges a request before it is sent.
     async fn accept<B>(
         &self,
         received: time::Instant,
@@ -222,9 +229,9 @@
                 Reason::NoConfiguration,
                 "this node has no configuration yet; send the request again",
             );
-            return Err(refused.after(PLAN_RETRY_AFTER).closing());
+            return Err(refused.with_retry_after(DEFAULT_RETRY_AFTER).closing());
         };
-        filter::check_head(&parts, plan.limits.head).map_err(unread)?;
+        filter::check_head(&parts, plan.limits.head).map_err(refuse_and_close)?;
         let host = host(&parts.headers)?;
         let route = plan.routes.find(host, parts.uri.path()).ok_or_else(|| {
             Refused::unsent(
@@ -234,8 +241,8 @@
             )
         })?;
         let workspace = workspace(&plan, route, &head)?;
-        let reading = filter::collect(&mut body, plan.limits.body);
-        let Ok(body) = timeout(plan.limits.receive, reading).await else {
+        let receiving = filter::collect(&mut body, plan.limits.body);
+        let Ok(body) = timeout(plan.limits.receive, receiving).await else {
             let refused = Refused::unsent(
                 StatusCode::REQUEST_TIMEOUT,
                 Reason::SlowSender,
@@ -243,24 +250,24 @@
             );
             return Err(refused.closing());
         };
-        let body = body.map_err(unread)?;
+        let body = body.map_err(refuse_and_close)?;
         let service = route.service(hash(&[head.correlation.as_bytes()]));
         let service = service.ok_or_else(|| {
             let refused = Refused::unsent(
                 StatusCode::SERVICE_UNAVAILABLE,
                 Reason::Core(refusal::Reason::NoEndpoint),
-                "the route leads to no service; give one of its targets a weight",
+                "no target of the route has a weight; give one of them a weight",
             );
-            refused.after(PLAN_RETRY_AFTER)
+            refused.with_retry_after(DEFAULT_RETRY_AFTER)
         })?;
         let fingerprint = fingerprint(&parts, &head, &body);
-        self.check_fingerprint(fingerprint)?;
+        self.check_quarantine(fingerprint)?;
         let tier = self.charge(&plan, route, workspace.as_ref(), &head)?;
-        let limit = head
+        let time_limit = head
             .remaining
             .map_or(route.timeout, |remaining| remaining.min(route.timeout));
-        let deadline = received + limit - ANSWER_MARGIN;
-        let patience = route.patience.unwrap_or(limit);
+        let deadline = received + time_limit - ANSWER_MARGIN;
+        let patience = route.patience.unwrap_or(time_limit);
         Ok(Job {
             correlation: head.correlation.clone(),
             route: Arc::clone(route),
@@ -270,25 +277,25 @@
             tokens: expected_tokens(&head),
             received,
             deadline,
-            abandoned: deadline.min(received + patience - ANSWER_MARGIN),
+            first_byte_deadline: deadline.min(received + patience - ANSWER_MARGIN),
             fingerprint,
             template: Template::new(parts, body, head, workspace, plan.workspaces.is_some()),
         })
     }
 
-    /// Refuses requests that crash endpoints.
-    fn check_fingerprint(&self, fingerprint: id::Fingerprint) -> Result<(), Refused> {
+    /// Refuses requests that are known to crash endpoints.
+    fn check_quarantine(&self, fingerprint: id::Fingerprint) -> Result<(), Refused> {
         let verdict = lock(&self.crashes).verdict(self.clock.now(), fingerprint);
         if verdict != Verdict::Confirmed {
             return Ok(());
         }
-        Err(Refused::core(refusal::Refusal {
+        Err(Refused::from_core(refusal::Refusal {
             reason: refusal::Reason::Quarantine,
             retry_after: Duration::from_secs(10),
         }))
     }
 
-    /// Counts a request against its workspace's quota; returns its tier.
+    /// Charges a request against its workspace's quota; returns its tier.
     fn charge(
         &self,
         plan: &Plan,
@@ -319,7 +326,7 @@
                     rate = quota.rate,
                     "quota used up"
                 );
-                return Err(Refused::core(refusal::Refusal {
+                return Err(Refused::from_core(refusal::Refusal {
                     reason: refusal::Reason::Limit,
                     retry_after: exhausted.retry_after,
                 }));
@@ -328,85 +335,85 @@
         Ok(settings.tier.unwrap_or(route.tier))
     }
 
-    /// Sends a request to endpoints until one answers.
+    /// Sends a request to endpoints until one answers or no retry is left.
     async fn send(self: Arc<Self>, job: Job) -> Result<Response<Body>, Refused> {
         let mut progress = Progress::default();
         let attempts = job.route.attempts.max(1);
-        let mut last = None;
-        while progress.sends < attempts && progress.unreachable < MAX_UNREACHABLE {
-            if progress.sends > 0 && !self.may_repeat(&job, &mut progress) {
+        let mut fallback = None;
+        while progress.sends < attempts && progress.connect_failures < MAX_CONNECT_FAILURES {
+            if progress.sends > 0 && !self.acquire_retry(&job, &mut progress) {
                 break;
             }
-            let (choice, place) = match self.admit(&job, &progress).await {
+            let (choice, permit) = match self.admit(&job, &progress).await {
                 Ok(admitted) => admitted,
                 Err(refused) => {
-                    last = Some(Fallback::better(last, refused.into()));
+                    fallback = Some(Fallback::prefer_answer(fallback, refused.into()));
                     break;
                 }
             };
             if progress.sends == 0 {
                 lock(&self.budget).earn(self.clock.now(), &job.service);
             }
-            let attempt = attempt::send(&self, &job, &choice, None, place).await;
-            match self.judge(&job, &choice, &mut progress, attempt) {
-                Next::Answer(whole) => {
-                    return Ok(Response::from_parts(whole.parts, Body::full(whole.body)));
+            let attempt = attempt::send(&self, &job, &choice, None, permit).await;
+            match self.finish_attempt(&job, &choice, &mut progress, attempt) {
+                Next::Answer(answer) => {
+                    return Ok(Response::from_parts(answer.parts, Body::full(answer.body)));
                 }
                 Next::Stream(stream) => {
                     return Ok(Relay::new(self, job, progress, choice, *stream).response());
                 }
-                Next::Again(fallback) => last = Some(Fallback::better(last, fallback)),
-                Next::Never(refused) => return Err(refused),
+                Next::Retry(newer) => fallback = Some(Fallback::prefer_answer(fallback, newer)),
+                Next::Refuse(refused) => return Err(refused),
             }
         }
-        match last {
-            Some(Fallback::Answer(choice, whole)) => {
-                self.answered(
+        match fallback {
+            Some(Fallback::Answer(choice, answer)) => {
+                self.record_answer(
                     &job,
                     &choice,
                     &progress,
-                    whole.parts.status,
+                    answer.parts.status,
                     Flow::default(),
                 );
-                Ok(Response::from_parts(whole.parts, Body::full(whole.body)))
+                Ok(Response::from_parts(answer.parts, Body::full(answer.body)))
             }
             Some(Fallback::Refused(refused)) => Err(refused),
-            None => Err(unreachable_endpoints(progress.may_have_run)),
+            None => Err(last_unreachable(progress.may_have_run)),
         }
     }
 
     /// Returns whether a request that was sent may be sent again; takes one
-    /// unit of the budget for the next send.
-    pub fn may_repeat(&self, job: &Job, progress: &mut Progress) -> bool {
+    /// unit of the retry budget for that send.
+    pub fn acquire_retry(&self, job: &Job, progress: &mut Progress) -> bool {
         if progress.may_have_run && job.route.repeat == Repeat::Never {
             return false;
         }
-        // An endpoint that could not be reached has not used the unit.
-        if progress.granted {
+        // The unit is still unused if the send failed to connect.
+        if progress.retry_granted {
             return true;
         }
         let granted = lock(&self.budget).spend(self.clock.now(), &job.service);
-        progress.granted = granted;
+        progress.retry_granted = granted;
         if !granted {
             self.metrics.budget_exhausted.inc();
             tracing::info!(
                 id = job.correlation,
                 service = %job.service,
                 sends = progress.sends,
-                "no repeat: the budget is used up"
+                "not retried: the retry budget is used up"
             );
         }
         granted
     }
 
-    /// Waits for an endpoint.
-    async fn admit(&self, job: &Job, progress: &Progress) -> Result<(Choice, Place), Refused> {
-        let admitted = self.admission.admit(job.ask(&progress.avoid)).await;
+    /// Waits until an endpoint is chosen.
+    async fn admit(&self, job: &Job, progress: &Progress) -> Result<(Choice, Permit), Refused> {
+        let admitted = self.admission.admit(job.ask(&progress.tried)).await;
         admitted.map_err(|refusal| {
             if !progress.may_have_run {
-                return Refused::core(refusal);
+                return Refused::from_core(refusal);
             }
-            Refused::lost(
+            Refused::may_have_run(
                 StatusCode::BAD_GATEWAY,
                 Reason::Broken,
                 "the endpoint failed and no other is free in time; send the request again",
@@ -414,21 +421,30 @@
         })
     }
 
-    /// Records that the connection of a request broke.
-    pub fn broke(&self, job: &Job, endpoint: &id::Endpoint) {
+    /// Records that the connection broke while an endpoint may have been running
+    /// the request.
+    pub fn record_broken_connection(&self, job: &Job, endpoint: &id::Endpoint) {
         lock(&self.crashes).broke(self.clock.now(), endpoint, job.fingerprint);
     }
 
-    /// Records that an endpoint can't be reached.
-    pub fn died(&self, endpoint: &id::Endpoint) {
+    /// Records that an endpoint can't be reached; requests whose connections to
+    /// it broke shortly before are suspected of having crashed it.
+    pub fn record_unreachable(&self, endpoint: &id::Endpoint) {
         let suspects = lock(&self.crashes).died(self.clock.now(), endpoint);
         if suspects > 0 {
             tracing::info!(%endpoint, suspects, "endpoint died with requests in flight");
         }
     }
 
-    /// Decides what follows from an attempt.
-    fn judge(&self, job: &Job, choice: &Choice, progress: &mut Progress, attempt: Attempt) -> Next {
+    /// Ends an attempt: releases its permit, records its result and decides what
+    /// follows.
+    fn finish_attempt(
+        &self,
+        job: &Job,
+        choice: &Choice,
+        progress: &mut Progress,
+        attempt: Attempt,
+    ) -> Next {
         if let Some(failure) = attempt.failure() {
             self.metrics.attempt_failed(failure);
             tracing::info!(
@@ -442,65 +458,65 @@
             );
         }
         match attempt {
-            Attempt::Unsent { place, .. } => {
-                place.end(Outcome::Unreachable);
-                self.died(&choice.endpoint);
-                progress.unreachable += 1;
-                progress.avoid.push(choice.endpoint.clone());
-                Next::Again(unreachable_endpoints(progress.may_have_run).into())
+            Attempt::Unsent { permit, .. } => {
+                permit.end(Outcome::Unreachable);
+                self.record_unreachable(&choice.endpoint);
+                progress.connect_failures += 1;
+                progress.tried.push(choice.endpoint.clone());
+                Next::Retry(last_unreachable(progress.may_have_run).into())
             }
-            Attempt::Rejected { place, status } => {
-                place.end(attempt::rejection(status));
-                progress.sent(choice);
-                Next::Again(rejected(progress.may_have_run).into())
+            Attempt::Rejected { permit, status } => {
+                permit.end(attempt::rejection_outcome(status));
+                progress.record_send(choice);
+                Next::Retry(last_rejected(progress.may_have_run).into())
             }
-            Attempt::Broken { place, .. } => {
-                place.end(Outcome::Broken);
-                self.broke(job, &choice.endpoint);
-                progress.sent(choice);
+            Attempt::Broken { permit, .. } => {
+                permit.end(Outcome::Broken);
+                self.record_broken_connection(job, &choice.endpoint);
+                progress.record_send(choice);
                 progress.may_have_run = true;
-                let refused = Refused::lost(
+                let refused = Refused::may_have_run(
                     StatusCode::BAD_GATEWAY,
                     Reason::Broken,
                     "the connection to the endpoint broke; send the request again if it is idempotent",
                 );
-                Next::Again(refused.into())
+                Next::Retry(refused.into())
             }
-            Attempt::Expired { place } => {
-                place.end(Outcome::Cancelled);
-                progress.sent(choice);
-                Next::Never(Refused::lost(
+            Attempt::Expired { permit } => {
+                permit.end(Outcome::Cancelled);
+                progress.record_send(choice);
+                Next::Refuse(Refused::may_have_run(
                     StatusCode::GATEWAY_TIMEOUT,
                     Reason::DeadlinePassed,
                     "the deadline passed before the answer came; allow more time",
                 ))
             }
-            Attempt::Failed { place, whole } => {
-                place.end(Outcome::Failed);
-                progress.sent(choice);
+            Attempt::Failed { permit, answer } => {
+                permit.end(Outcome::Failed);
+                progress.record_send(choice);
                 progress.may_have_run = true;
                 if job.route.repeat == Repeat::Whole {
-                    return Next::Again(Fallback::Answer(choice.clone(), whole));
+                    return Next::Retry(Fallback::Answer(choice.clone(), answer));
                 }
-                self.answered(job, choice, progress, whole.parts.status, Flow::default());
-                Next::Answer(whole)
+                self.record_answer(job, choice, progress, answer.parts.status, Flow::default());
+                Next::Answer(answer)
             }
-            Attempt::Whole { place, whole } => {
-                place.end(Outcome::Answered(Flow::default()));
-                progress.sent(choice);
-                self.answered(job, choice, progress, whole.parts.status, Flow::default());
-                Next::Answer(whole)
+            Attempt::Answered { permit, answer } => {
+                permit.end(Outcome::Answered(Flow::default()));
+                progress.record_send(choice);
+                self.record_answer(job, choice, progress, answer.parts.status, Flow::default());
+                Next::Answer(answer)
             }
             Attempt::Stream(stream) => {
-                progress.sent(choice);
+                progress.record_send(choice);
                 progress.may_have_run = true;
                 Next::Stream(stream)
             }
         }
     }
 
-    /// Tells that a request was answered by an endpoint.
-    pub fn answered(
+    /// Counts and logs a request that an endpoint answered.
+    pub fn record_answer(
         &self,
         job: &Job,
         choice: &Choice,
@@ -528,26 +544,26 @@
 }
 
 impl Progress {
-    /// Records that a request was or may have been handed to an endpoint.
-    pub fn sent(&mut self, choice: &Choice) {
+    /// Records a send that reached an endpoint or may have.
+    pub fn record_send(&mut self, choice: &Choice) {
         self.sends += 1;
-        self.granted = false;
-        self.avoid.push(choice.endpoint.clone());
+        self.retry_granted = false;
+        self.tried.push(choice.endpoint.clone());
     }
 }
 
 /// What the caller gets if no further attempt is made.
 enum Fallback {
-    /// This refusal.
+    /// This refusal by the gateway.
     Refused(Refused),
-    /// The error that this endpoint answered with.
-    Answer(Choice, Box<attempt::Whole>),
+    /// The error that this endpoint answered.
+    Answer(Choice, Box<attempt::Buffered>),
 }
 
 impl Fallback {
     /// Returns the newer one, unless only the older one is an endpoint's
-    /// answer.
-    fn better(older: Option<Self>, newer: Self) -> Self {
+    /// answer, which tells the caller more than a refusal.
+    fn prefer_answer(older: Option<Self>, newer: Self) -> Self {
         match (older, &newer) {
             (Some(answer @ Self::Answer(..)), Self::Refused(_)) => answer,
             _ => newer,
@@ -561,30 +577,33 @@
     }
 }
 
-/// What follows from an attempt.
+/// What to do after an attempt.
 enum Next {
-    /// This whole answer.
-    Answer(Box<attempt::Whole>),
-    /// This stream.
+    /// Return this answer.
+    Answer(Box<attempt::Buffered>),
+    /// Relay this stream.
     Stream(Box<attempt::Stream>),
-    /// Another attempt, or this if none is left.
-    Again(Fallback),
-    /// This refusal.
-    Never(Refused),
+    /// Try again, or return this if no attempt is left.
+    Retry(Fallback),
+    /// Return this refusal without another attempt.
+    Refuse(Refused),
 }
 
-/// Locks a mutex; a panic elsewhere leaves its content usable.
+/// Locks a mutex and ignores poisoning, as its content stays usable after a
+/// panic elsewhere.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Returns a time in whole milliseconds for the log.
+/// Returns a duration in whole milliseconds for the log.
 #[must_use]
 pub fn millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn unread(problem: dottereltally::problem::Problem) -> Refused {
+/// Refuses a request that was not read to its end, so that its connection must
+/// be closed.
+fn refuse_and_close(problem: dottereltally::problem::Problem) -> Refused {
     Refused {
         problem,
         retry_after: None,
@@ -592,27 +611,31 @@
     }
 }
 
-fn unreachable_endpoints(may_have_run: bool) -> Refused {
+/// Returns the refusal if the last endpoint could not be reached; an earlier
+/// one may have run the request.
+fn last_unreachable(may_have_run: bool) -> Refused {
     if may_have_run {
-        return Refused::lost(
+        return Refused::may_have_run(
             StatusCode::BAD_GATEWAY,
             Reason::Broken,
             "the endpoint failed; send the request again if it is idempotent",
         );
     }
-    Refused::core(refusal::Refusal {
+    Refused::from_core(refusal::Refusal {
         reason: refusal::Reason::NoEndpoint,
-        retry_after: PLAN_RETRY_AFTER,
+        retry_after: DEFAULT_RETRY_AFTER,
     })
 }
 
-fn rejected(may_have_run: bool) -> Refused {
+/// Returns the refusal if the last endpoint rejected the request; an earlier
+/// one may have run it.
+fn last_rejected(may_have_run: bool) -> Refused {
     if may_have_run {
-        return unreachable_endpoints(true);
+        return last_unreachable(true);
     }
-    Refused::core(refusal::Refusal {
+    Refused::from_core(refusal::Refusal {
         reason: refusal::Reason::Overload,
-        retry_after: PLAN_RETRY_AFTER,
+        retry_after: DEFAULT_RETRY_AFTER,
     })
 }
 
@@ -631,7 +654,7 @@
     }
 }
 
-/// Finds the caller's workspace.
+/// Finds the caller's workspace by its key; none where no key is needed.
 fn workspace(plan: &Plan, route: &Route, head: &Head) -> Result<Option<id::Workspace>, Refused> {
     let Some(workspaces) = &plan.workspaces else {
         return Ok(None);
@@ -667,7 +690,8 @@
     hasher.digest()
 }
 
-/// Returns a hash that is equal when the same caller sends the same again.
+/// Returns a hash that is equal when the same caller sends the same request
+/// again.
 fn fingerprint(parts: &Parts, head: &Head, body: &Bytes) -> id::Fingerprint {
     let key = head.key.as_deref().unwrap_or_default();
     let target = parts.uri.path_and_query().map_or("/", |path| path.as_str());
@@ -679,9 +703,10 @@
     ]))
 }
 
-/// Returns the headers of a request that concern its endpoint.
+/// Returns the headers of a request that are forwarded: without hop-by-hop
+/// headers and `Expect`.
 #[must_use]
-pub fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
+pub fn end_to_end_headers(mut headers: HeaderMap) -> HeaderMap {
     strip_hop(&mut headers);
     headers.remove(EXPECT);
     headers
--- a/gateway/src/events.rs
+++ b/gateway/src/events.rs
@@ -1,32 +1,32 @@
-//! Cuts a stream of server-sent events into whole events.
+//! Splits a stream of server-sent events into whole events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event that is kept together, bytes.
+/// Largest event that is buffered.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// One or more whole events.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
-    /// The bytes, up to the blank line of the last event.
+    /// The bytes, up to and including the blank line of the last event.
     pub bytes: Bytes,
     /// The number of events.
     pub events: u64,
-    /// Identifier of the first event, if it is a number.
-    pub first: Option<u64>,
-    /// Identifier of the last event that has a number.
-    pub last: Option<u64>,
+    /// The first event identifier that is a number.
+    pub first_id: Option<u64>,
+    /// The last event identifier that is a number.
+    pub last_id: Option<u64>,
 }
 
-/// Collects bytes until events are whole.
+/// Buffers bytes until events are whole.
 #[derive(Debug, Default)]
 pub struct Splitter {
     buffer: BytesMut,
 }
 
-/// An event does not end within the limit.
+/// An event is larger than the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("an event is over {MAX_EVENT_BYTES} bytes; check the endpoint")]
+#[error("an event is larger than {MAX_EVENT_BYTES} bytes; check the endpoint")]
 pub struct TooLong;
 
 impl Splitter {
@@ -34,22 +34,23 @@
     ///
     /// # Errors
     ///
-    /// Fails if an event is too long to be kept.
+    /// Fails if an event is too large to be buffered.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Batch>, TooLong> {
-        // The blank line may begin in the bytes that are kept.
-        let from = self.buffer.len().saturating_sub(3);
+        // A blank line, `\r\n\r\n` at the longest, may start in the bytes of
+        // earlier calls.
+        let search_start = self.buffer.len().saturating_sub(3);
         self.buffer.extend_from_slice(bytes);
-        let Some(end) = last_blank(&self.buffer, from) else {
+        let Some(end) = last_event_end(&self.buffer, search_start) else {
             if self.buffer.len() > MAX_EVENT_BYTES {
                 return Err(TooLong);
             }
             return Ok(None);
         };
         let bytes = self.buffer.split_to(end).freeze();
-        Ok(Some(Batch::of(bytes)))
+        Ok(Some(Batch::parse(bytes)))
     }
 
-    /// Returns whether nothing is left of an unfinished event.
+    /// Returns whether no unfinished event is buffered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
@@ -57,12 +58,12 @@
 }
 
 impl Batch {
-    fn of(bytes: Bytes) -> Self {
+    fn parse(bytes: Bytes) -> Self {
         let mut batch = Self {
             bytes: Bytes::new(),
             events: 0,
-            first: None,
-            last: None,
+            first_id: None,
+            last_id: None,
         };
         let mut blank = true;
         for line in bytes.split(|byte| *byte == b'\n') {
@@ -78,27 +79,27 @@
             let Some(value) = line.strip_prefix(b"id:") else {
                 continue;
             };
-            let Some(number) = number(value) else {
+            let Some(id) = parse_id(value) else {
                 continue;
             };
-            batch.first = batch.first.or(Some(number));
-            batch.last = Some(number);
+            batch.first_id = batch.first_id.or(Some(id));
+            batch.last_id = Some(id);
         }
         batch.bytes = bytes;
         batch
     }
 }
 
-fn number(value: &[u8]) -> Option<u64> {
+fn parse_id(value: &[u8]) -> Option<u64> {
     std::str::from_utf8(value).ok()?.trim().parse().ok()
 }
 
 /// Returns the end of the last blank line that ends after `from`.
-fn last_blank(bytes: &[u8], from: usize) -> Option<usize> {
+fn last_event_end(bytes: &[u8], search_start: usize) -> Option<usize> {
     let mut end = bytes.len();
-    while end > from {
+    while end > search_start {
         let line = bytes[..end].iter().rposition(|byte| *byte == b'\n')?;
-        if line < from {
+        if line < search_start {
             return None;
         }
         let before = bytes[..line].strip_suffix(b"\r").unwrap_or(&bytes[..line]);
--- a/gateway/src/home/desk.rs
+++ b/gateway/src/home/desk.rs
@@ -1,4 +1,4 @@
-//! The home's side: decides for one other node.
+//! The home's side of a link: decides for one other node.
 
 use std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration};
 
@@ -9,39 +9,39 @@
 use tokio::{select, sync::oneshot};
 
 use crate::{
-    admission::{self, Place},
+    admission::{self, Permit},
     home::wire,
 };
 
-/// Answer to a request that was taken back; nobody waits for it.
-const TAKEN_BACK: Refusal = Refusal {
+/// Answer to a request that was withdrawn; nobody waits for it.
+const WITHDRAWN: Refusal = Refusal {
     reason: refusal::Reason::Shutdown,
     retry_after: Duration::ZERO,
 };
 
 /// A request of the other node.
-enum Slot {
-    /// It waits; dropping the sender takes it back.
+enum Request {
+    /// It waits for an endpoint; dropping the sender withdraws it.
     Waiting(#[expect(dead_code, reason = "its drop is the message")] oneshot::Sender<()>),
-    /// It has a place.
-    Placed(Place),
+    /// It has a place at an endpoint.
+    Admitted(Permit),
 }
 
-/// Decides for one other node; dropping it gives the places back.
+/// Decides for one other node; dropping it withdraws that node's requests.
 pub struct Desk {
     admission: admission::Handle,
     clock: Clock,
-    slots: RefCell<HashMap<u64, Slot>>,
+    requests: RefCell<HashMap<u64, Request>>,
 }
 
 impl Desk {
-    /// Builds the desk of a node that just connected.
+    /// Builds a desk for a node that just connected.
     #[must_use]
     pub fn new(admission: admission::Handle, clock: Clock) -> Self {
         Self {
             admission,
             clock,
-            slots: RefCell::default(),
+            requests: RefCell::default(),
         }
     }
 }
@@ -55,24 +55,24 @@
         let params = params.get()?;
         let request = params.get_request();
         let ask = wire::read_ask(params.get_ask()?, self.clock.now())?;
-        let (waiting, taken_back) = oneshot::channel();
-        self.slots
+        let (withdraw, withdrawn) = oneshot::channel();
+        self.requests
             .borrow_mut()
-            .insert(request, Slot::Waiting(waiting));
+            .insert(request, Request::Waiting(withdraw));
         let decided = select! {
-            decided = self.admission.decide(ask) => decided,
-            _ = taken_back => Err(TAKEN_BACK),
+            decided = self.admission.admit_locally(ask) => decided,
+            _ = withdrawn => Err(WITHDRAWN),
         };
         let decision = match decided {
-            Ok((choice, place)) => {
-                let mut slots = self.slots.borrow_mut();
-                if let Some(slot) = slots.get_mut(&request) {
-                    *slot = Slot::Placed(place);
+            Ok((choice, permit)) => {
+                let mut requests = self.requests.borrow_mut();
+                if let Some(entry) = requests.get_mut(&request) {
+                    *entry = Request::Admitted(permit);
                 }
                 Ok(choice)
             }
             Err(refusal) => {
-                self.slots.borrow_mut().remove(&request);
+                self.requests.borrow_mut().remove(&request);
                 Err(refusal)
             }
         };
@@ -86,8 +86,8 @@
         _: desk::StartResults,
     ) -> Result<(), Error> {
         let request = params.get()?.get_request();
-        if let Some(Slot::Placed(place)) = self.slots.borrow().get(&request) {
-            place.start();
+        if let Some(Request::Admitted(permit)) = self.requests.borrow().get(&request) {
+            permit.record_first_byte();
         }
         Ok(())
     }
@@ -99,9 +99,9 @@
     ) -> Result<(), Error> {
         let params = params.get()?;
         let outcome = wire::read_outcome(params)?;
-        let slot = self.slots.borrow_mut().remove(&params.get_request());
-        if let Some(Slot::Placed(place)) = slot {
-            place.end(outcome);
+        let entry = self.requests.borrow_mut().remove(&params.get_request());
+        if let Some(Request::Admitted(permit)) = entry {
+            permit.end(outcome);
         }
         Ok(())
     }
--- a/gateway/src/home/link.rs
+++ b/gateway/src/home/link.rs
@@ -1,4 +1,5 @@
-//! A node's side: has its home decide, and notices when it can't.
+//! A node's side of a link: lets its home decide, and detects when the home is
+//! gone.
 
 use std::{
     cell::Cell,
@@ -20,39 +21,39 @@
 };
 
 use crate::{
-    admission::{self, Order},
+    admission::{self, Command},
     beat::{length, write_held},
     directory::Node,
     exchange,
     home::wire,
 };
 
-/// Time for a connection and for the first answer; the way there and back
+/// Timeout for connecting to a home, and for its first answer; a round trip
 /// within a data centre takes a millisecond.
-const OPEN: Duration = Duration::from_millis(400);
+const OPEN_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time without a word from the home, while requests wait there, after which
-/// it is asked whether it lives.
-const QUIET: Duration = Duration::from_millis(150);
+/// Time without an answer from the home, while requests wait there, after which
+/// it is pinged.
+const QUIET_BEFORE_PING: Duration = Duration::from_millis(150);
 
-/// Time for the answer to that question; a request on time has some hundred
-/// milliseconds in all.
-const LIFE_SIGN: Duration = Duration::from_millis(250);
+/// Timeout of a ping; a request has only a few hundred milliseconds in all to be
+/// on time.
+const PING_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time between two looks at the home.
-const TICK: Duration = Duration::from_millis(50);
+/// Time between two checks of the home.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Nodes of the order that are tried; while all of a data centre start, none is
-/// ready, and a node decides alone as well.
-const CANDIDATES: usize = 3;
+/// Nodes at the top of the ranking that are tried as home; while all nodes of a
+/// data centre start, none is ready, and deciding alone does as well.
+const MAX_CANDIDATES: usize = 3;
 
-/// Time for which a home that failed is passed over.
-const PASS_OVER: Duration = Duration::from_secs(1);
+/// Time for which a home that failed is skipped.
+const FAILED_HOME_COOLDOWN: Duration = Duration::from_secs(1);
 
-/// Why a home does not decide any more.
+/// Why a home does not decide for this node any more.
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
-    /// It can't be asked.
+    /// It can't be called.
     #[error(transparent)]
     Unreachable(#[from] exchange::Failure),
     /// Its address can't be read.
@@ -69,19 +70,19 @@
     }
 }
 
-/// A node's side of the delegation.
+/// A node's side of the link to its home.
 pub struct Link {
     own: id::Node,
     admission: admission::Handle,
     clock: Clock,
-    /// The nodes of the data centre, the home first.
+    /// The nodes of the data centre as ranked, the home first.
     homes: watch::Receiver<Vec<Node>>,
-    /// Homes that failed lately, and until when they are passed over.
-    passed_over: HashMap<id::Node, Instant>,
+    /// Homes that failed lately, and until when they are skipped.
+    cooling_down: HashMap<id::Node, Instant>,
 }
 
 impl Link {
-    /// Builds a link; nothing is opened yet.
+    /// Builds a link that is not connected yet.
     #[must_use]
     pub fn new(
         own: id::Node,
@@ -94,30 +95,30 @@
             admission,
             clock,
             homes,
-            passed_over: HashMap::new(),
+            cooling_down: HashMap::new(),
         }
     }
 
-    /// Keeps the node linked to its home for ever; needs a local task set.
+    /// Keeps the node linked to its home; needs a local task set.
     pub async fn run(mut self) {
         loop {
             let now = Instant::now();
-            self.passed_over.retain(|_, until| *until > now);
+            self.cooling_down.retain(|_, until| *until > now);
             let Some(home) = self.home() else {
-                // This node is the home, or the others failed for now.
+                // This node is the home, or the candidates failed lately.
                 select! {
                     changed = self.homes.changed() => if changed.is_err() {
                         return;
                     },
-                    () = sleep(PASS_OVER) => {}
+                    () = sleep(FAILED_HOME_COOLDOWN) => {}
                 }
                 continue;
             };
-            if let Err(failure) = self.follow(&home).await {
-                tracing::info!(home = %home.name, cause = %failure, "this node decides itself");
+            if let Err(failure) = self.delegate_to(&home).await {
+                tracing::info!(home = %home.name, cause = %failure, "this node decides alone");
                 if !matches!(failure, Failure::Replaced) {
-                    let until = Instant::now() + PASS_OVER;
-                    self.passed_over.insert(home.name, until);
+                    let until = Instant::now() + FAILED_HOME_COOLDOWN;
+                    self.cooling_down.insert(home.name, until);
                 }
             }
         }
@@ -127,45 +128,45 @@
     fn home(&self) -> Option<Node> {
         let now = Instant::now();
         let homes = self.homes.borrow();
-        let mut homes = homes.iter().take(CANDIDATES);
+        let mut homes = homes.iter().take(MAX_CANDIDATES);
         let home = homes.find(|node| {
-            let until = self.passed_over.get(&node.name);
+            let until = self.cooling_down.get(&node.name);
             until.is_none_or(|until| *until <= now)
         })?;
         (home.name != self.own).then(|| home.clone())
     }
 
-    /// Has a home decide until it fails or another one takes its place.
-    async fn follow(&self, home: &Node) -> Result<(), Failure> {
+    /// Lets a home decide until it fails or another node is the home.
+    async fn delegate_to(&self, home: &Node) -> Result<(), Failure> {
         let address: SocketAddr = home.calls.parse()?;
-        let silent = |_| exchange::Failure::Silent;
-        let connecting = timeout(OPEN, exchange::connect(address));
-        let connection = connecting.await.map_err(silent)??;
+        let timed_out = |_| exchange::Failure::Silent;
+        let connecting = timeout(OPEN_TIMEOUT, exchange::connect(address));
+        let connection = connecting.await.map_err(timed_out)??;
         let mut open = connection.client.open_request();
         open.get().set_node(self.own.as_str());
         let held = self.admission.reclaim();
         write_held(&held, open.get().init_held(length(held.len())));
-        let opening = timeout(OPEN, open.send().promise);
-        let desk = opening.await.map_err(silent)??;
+        let opening = timeout(OPEN_TIMEOUT, open.send().promise);
+        let desk = opening.await.map_err(timed_out)??;
         let desk = desk.get()?.get_desk()?;
         tracing::info!(home = %home.name, %address, "home decides for this node");
-        let (orders, queue) = mpsc::unbounded_channel();
-        self.admission.delegate(Some(orders));
-        let ended = self.pass(home, &desk, queue).await;
-        self.admission.delegate(None);
+        let (commands, receiver) = mpsc::unbounded_channel();
+        self.admission.set_home(Some(commands));
+        let ended = self.forward_commands(home, &desk, receiver).await;
+        self.admission.set_home(None);
         ended
     }
 
-    /// Passes orders on.
-    async fn pass(
+    /// Sends commands to the home and checks that it answers.
+    async fn forward_commands(
         &self,
         home: &Node,
         desk: &desk::Client,
-        mut queue: mpsc::UnboundedReceiver<Order>,
+        mut receiver: mpsc::UnboundedReceiver<Command>,
     ) -> Result<(), Failure> {
         let mut calls: JoinSet<Result<(), Error>> = JoinSet::new();
-        let watch = Rc::new(Watch::default());
-        let mut ticks = interval(TICK);
+        let liveness = Rc::new(Liveness::default());
+        let mut ticks = interval(CHECK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             select! {
@@ -173,24 +174,24 @@
                 Some(ended) = calls.join_next() => if let Ok(ended) = ended {
                     ended?;
                 },
-                order = queue.recv() => match order {
-                    Some(order) => self.call(desk, order, &watch, &mut calls),
+                command = receiver.recv() => match command {
+                    Some(command) => self.send_command(desk, command, &liveness, &mut calls),
                     None => return Err(Failure::Replaced),
                 },
                 _ = ticks.tick() => {
                     if self.home().is_none_or(|best| best.name != home.name) {
                         return Err(Failure::Replaced);
                     }
-                    if watch.is_silent() {
+                    if liveness.ping_timed_out() {
                         return Err(exchange::Failure::Silent.into());
                     }
-                    if watch.is_due() {
-                        watch.asked.set(Some(Instant::now()));
+                    if liveness.ping_is_due() {
+                        liveness.pinged_at.set(Some(Instant::now()));
                         let answer = desk.ping_request().send().promise;
-                        let watch = Rc::clone(&watch);
+                        let liveness = Rc::clone(&liveness);
                         calls.spawn_local(async move {
                             answer.await?;
-                            watch.hear();
+                            liveness.record_answer();
                             Ok(())
                         });
                     }
@@ -199,38 +200,41 @@
         }
     }
 
-    fn call(
+    /// Sends a command; its answer is handled by a task in `calls`.
+    fn send_command(
         &self,
         desk: &desk::Client,
-        order: Order,
-        watch: &Rc<Watch>,
+        command: Command,
+        liveness: &Rc<Liveness>,
         calls: &mut JoinSet<Result<(), Error>>,
     ) {
-        match order {
-            Order::Admit(request, ask, reply) => {
+        match command {
+            Command::Admit(request, ask, reply) => {
                 let mut message = desk.admit_request();
                 message.get().set_request(request.0);
                 wire::write_ask(&ask, self.clock.now(), message.get().init_ask());
                 let answer = message.send().promise;
-                let watch = Rc::clone(watch);
-                watch.waiting.set(watch.waiting.get() + 1);
+                let liveness = Rc::clone(liveness);
+                liveness.waiting.set(liveness.waiting.get() + 1);
                 calls.spawn_local(async move {
                     let answer = answer.await?;
-                    watch.waiting.set(watch.waiting.get().saturating_sub(1));
-                    watch.hear();
+                    liveness
+                        .waiting
+                        .set(liveness.waiting.get().saturating_sub(1));
+                    liveness.record_answer();
                     let decision = wire::read_decision(answer.get()?.get_decision()?)?;
-                    // The caller may have left meanwhile.
+                    // The caller may have left in the meantime.
                     let _left = reply.send(decision);
                     Ok(())
                 });
             }
-            Order::Start(request) => {
+            Command::FirstByte(request) => {
                 let mut message = desk.start_request();
                 message.get().set_request(request.0);
                 let answer = message.send().promise;
                 calls.spawn_local(async move { answer.await.map(|_| ()) });
             }
-            Order::End(request, outcome) => {
+            Command::End(request, outcome) => {
                 let mut message = desk.end_request();
                 message.get().set_request(request.0);
                 wire::write_outcome(outcome, message.get());
@@ -241,37 +245,39 @@
     }
 }
 
-/// Tells whether the home lives.
-struct Watch {
-    /// Requests that wait for its decision.
+/// Detects a home that does not answer.
+struct Liveness {
+    /// Requests that wait for the decision of the home.
     waiting: Cell<usize>,
-    heard: Cell<Instant>,
-    /// When it was asked for a sign of life that has not come.
-    asked: Cell<Option<Instant>>,
+    last_answer: Cell<Instant>,
+    /// When the ping was sent that is not answered yet.
+    pinged_at: Cell<Option<Instant>>,
 }
 
-impl Default for Watch {
+impl Default for Liveness {
     fn default() -> Self {
         Self {
             waiting: Cell::new(0),
-            heard: Cell::new(Instant::now()),
-            asked: Cell::new(None),
+            last_answer: Cell::new(Instant::now()),
+            pinged_at: Cell::new(None),
         }
     }
 }
 
-impl Watch {
-    fn hear(&self) {
-        self.heard.set(Instant::now());
-        self.asked.set(None);
+impl Liveness {
+    fn record_answer(&self) {
+        self.last_answer.set(Instant::now());
+        self.pinged_at.set(None);
     }
 
-    fn is_due(&self) -> bool {
-        self.waiting.get() > 0 && self.asked.get().is_none() && self.heard.get().elapsed() >= QUIET
+    fn ping_is_due(&self) -> bool {
+        self.waiting.get() > 0
+            && self.pinged_at.get().is_none()
+            && self.last_answer.get().elapsed() >= QUIET_BEFORE_PING
     }
 
-    fn is_silent(&self) -> bool {
-        let asked = self.asked.get();
-        asked.is_some_and(|asked| asked.elapsed() >= LIFE_SIGN)
+    fn ping_timed_out(&self) -> bool {
+        let pinged_at = self.pinged_at.get();
+        pinged_at.is_some_and(|pinged_at| pinged_at.elapsed() >= PING_TIMEOUT)
     }
 }
--- a/gateway/src/refusal.rs
+++ b/gateway/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of the gateway's own.
+//! Refusals: answers that the gateway gives instead of an endpoint.
 
 use std::time::Duration;
 
@@ -11,14 +11,14 @@
 
 use crate::dialect::Dialect;
 
-/// An answer of the gateway's own, with what the log says of it.
+/// A refusal of a request.
 #[derive(Clone, Debug)]
 pub struct Refused {
-    /// The answer.
+    /// The problem that the caller is told.
     pub problem: Problem,
-    /// When to come back, if that may help.
+    /// When the caller may try again, if that can help.
     pub retry_after: Option<Duration>,
-    /// Whether the connection has to be closed after it.
+    /// Whether the connection must be closed after the answer.
     pub close: bool,
 }
 
@@ -35,7 +35,7 @@
 
     /// Fails a request that an endpoint may have run.
     #[must_use]
-    pub fn lost(status: StatusCode, reason: Reason, detail: impl Into<String>) -> Self {
+    pub fn may_have_run(status: StatusCode, reason: Reason, detail: impl Into<String>) -> Self {
         Self {
             problem: Problem::may_have_run(status, reason, detail),
             retry_after: None,
@@ -43,9 +43,9 @@
         }
     }
 
-    /// Refuses a request as the decision core says.
+    /// Refuses a request for a reason of the decision core.
     #[must_use]
-    pub fn core(refusal: refusal::Refusal) -> Self {
+    pub fn from_core(refusal: refusal::Refusal) -> Self {
         let (status, detail) = match refusal.reason {
             refusal::Reason::Overload | refusal::Reason::Deadline => (
                 StatusCode::SERVICE_UNAVAILABLE,
@@ -68,12 +68,13 @@
                 "this host is shutting down; send the request again",
             ),
         };
-        Self::unsent(status, Reason::Core(refusal.reason), detail).after(refusal.retry_after)
+        Self::unsent(status, Reason::Core(refusal.reason), detail)
+            .with_retry_after(refusal.retry_after)
     }
 
-    /// Tells the caller when to come back.
+    /// Tells the caller when to try again.
     #[must_use]
-    pub fn after(mut self, delay: Duration) -> Self {
+    pub fn with_retry_after(mut self, delay: Duration) -> Self {
         self.retry_after = Some(delay);
         self
     }
@@ -85,7 +86,7 @@
         self
     }
 
-    /// Returns the answer as the caller gets it.
+    /// Returns the answer to the caller.
     pub fn response(&self, dialect: &impl Dialect, correlation: &str) -> Response<Body> {
         let mut response = self.problem.response(None);
         let headers = response.headers_mut();
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -1,5 +1,5 @@
-//! Passes a stream on event by event, and goes on at another endpoint where
-//! the route allows it.
+//! Relays a stream to the caller event by event, and resumes it at another
+//! endpoint where the route allows that.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,18 +19,18 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::{
-    admission::Place,
+    admission::Permit,
     attempt::{self, Attempt, Stream},
     chain::{Chain, Job, Progress, millis},
     dialect::Dialect,
     events::{Batch, Splitter},
 };
 
-/// Time without an event after which a stream goes on elsewhere; callers
-/// leave after two seconds at the earliest.
-const SILENCE: Duration = Duration::from_millis(1200);
+/// Time without an event after which a stream is resumed at another endpoint;
+/// callers give up after two seconds at the earliest.
+const STALL_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// A stream on its way to the caller.
+/// A stream that is relayed to the caller.
 pub struct Relay<D> {
     chain: Arc<Chain<D>>,
     job: Job,
@@ -38,24 +38,25 @@
     choice: Choice,
     source: Option<Source>,
     parts: Option<response::Parts>,
-    first: Option<Batch>,
-    last: Option<u64>,
+    /// Events that arrived but were not relayed yet.
+    pending: Option<Batch>,
+    last_event_id: Option<u64>,
     events: u64,
-    end: Instant,
+    deadline: Instant,
 }
 
 /// The endpoint's side of a stream; dropping it cancels the request there.
 struct Source {
     body: Answer,
     splitter: Splitter,
-    place: Place,
+    permit: Permit,
     flow: Flow,
-    /// When its last event came.
-    last: Instant,
+    /// When its last event arrived.
+    last_event_at: Instant,
 }
 
-/// What came next from an endpoint.
-enum Next {
+/// What an endpoint sent next.
+enum Received {
     Events(Batch),
     End,
     Broken(String),
@@ -63,30 +64,32 @@
 }
 
 impl Source {
-    async fn next(&mut self, limit: Instant, end: Instant) -> Next {
+    /// Waits for the next whole events until `event_deadline`; `deadline` is that
+    /// of the request.
+    async fn next(&mut self, event_deadline: Instant, deadline: Instant) -> Received {
         loop {
-            let frame = match timeout_at(limit, self.body.frame()).await {
+            let frame = match timeout_at(event_deadline, self.body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
-                Ok(Some(Err(error))) => return Next::Broken(error.cause),
-                Ok(None) if self.splitter.is_empty() => return Next::End,
-                Ok(None) => return Next::Broken("the stream ended within an event".to_owned()),
-                Err(_) if Instant::now() >= end => return Next::Expired,
-                Err(_) => return Next::Broken("no event in the expected time".to_owned()),
+                Ok(Some(Err(error))) => return Received::Broken(error.cause),
+                Ok(None) if self.splitter.is_empty() => return Received::End,
+                Ok(None) => return Received::Broken("the stream ended within an event".to_owned()),
+                Err(_) if Instant::now() >= deadline => return Received::Expired,
+                Err(_) => return Received::Broken("no event in the expected time".to_owned()),
             };
             let Some(data) = frame.data_ref() else {
                 continue;
             };
             match self.splitter.feed(data) {
-                Ok(Some(batch)) => return Next::Events(batch),
+                Ok(Some(batch)) => return Received::Events(batch),
                 Ok(None) => {}
-                Err(error) => return Next::Broken(error.to_string()),
+                Err(error) => return Received::Broken(error.to_string()),
             }
         }
     }
 }
 
 impl<D: Dialect> Relay<D> {
-    /// Takes over a stream.
+    /// Starts to relay a stream whose first events have arrived.
     #[must_use]
     pub fn new(
         chain: Arc<Chain<D>>,
@@ -95,8 +98,8 @@
         choice: Choice,
         stream: Stream,
     ) -> Self {
-        let end = Instant::now() + job.deadline.since(chain.clock.now());
-        let last = job.template.after();
+        let deadline = Instant::now() + job.deadline.since(chain.clock.now());
+        let last_event_id = job.template.last_event_id();
         let waited = chain.clock.now().since(job.received);
         chain.metrics.first_event(job.tier, waited);
         tracing::info!(
@@ -113,15 +116,15 @@
             source: Some(Source {
                 body: stream.body,
                 splitter: stream.splitter,
-                place: stream.place,
+                permit: stream.permit,
                 flow: Flow::default(),
-                last: Instant::now(),
+                last_event_at: Instant::now(),
             }),
             parts: Some(stream.parts),
-            first: Some(stream.first),
-            last,
+            pending: Some(stream.first),
+            last_event_id,
             events: 0,
-            end,
+            deadline,
         }
     }
 
@@ -143,56 +146,55 @@
         head.map(|()| Body::stream(StreamBody::new(Box::pin(frames))))
     }
 
-    /// Returns the next events, an error if the stream breaks off, none at its
-    /// end.
+    /// Returns the next events, an error if the stream is cut, none at its end.
     async fn next(&mut self) -> Option<Result<Bytes, Cut>> {
-        if let Some(batch) = self.first.take() {
-            return Some(self.pass(batch).map_err(|cause| self.cut(&cause)));
+        if let Some(batch) = self.pending.take() {
+            return Some(self.forward(batch).map_err(|cause| self.cut(&cause)));
         }
         loop {
-            let limit = self.limit();
+            let event_deadline = self.next_event_deadline();
             let source = self.source.as_mut()?;
-            let cause = match source.next(limit, self.end).await {
-                Next::Events(batch) => match self.pass(batch) {
+            let cause = match source.next(event_deadline, self.deadline).await {
+                Received::Events(batch) => match self.forward(batch) {
                     Ok(bytes) => return Some(Ok(bytes)),
                     Err(cause) => cause,
                 },
-                Next::End => {
+                Received::End => {
                     self.finish();
                     return None;
                 }
-                Next::Expired => {
+                Received::Expired => {
                     let cut = self.cut("the time limit of the route or the caller was reached");
                     return Some(Err(cut));
                 }
-                Next::Broken(cause) => cause,
+                Received::Broken(cause) => cause,
             };
             if !self.resume(&cause).await {
                 return Some(Err(self.cut(&cause)));
             }
-            if let Some(batch) = self.first.take() {
-                return Some(self.pass(batch).map_err(|cause| self.cut(&cause)));
+            if let Some(batch) = self.pending.take() {
+                return Some(self.forward(batch).map_err(|cause| self.cut(&cause)));
             }
         }
     }
 
-    /// Returns when the next event must have come.
-    fn limit(&self) -> Instant {
+    /// Returns when the next event must have arrived.
+    fn next_event_deadline(&self) -> Instant {
         if self.can_resume() {
-            return self.end.min(Instant::now() + SILENCE);
+            return self.deadline.min(Instant::now() + STALL_TIMEOUT);
         }
-        self.end
+        self.deadline
     }
 
     fn can_resume(&self) -> bool {
         self.job.route.repeat == Repeat::Resume
             && self.progress.sends < self.job.route.attempts
-            && (self.last.is_some() || self.events == 0)
+            && (self.last_event_id.is_some() || self.events == 0)
     }
 
-    /// Checks that events follow those that were passed on.
-    fn pass(&mut self, batch: Batch) -> Result<Bytes, String> {
-        if let (Some(last), Some(first)) = (self.last, batch.first)
+    /// Checks that events follow those that were relayed, and returns their bytes.
+    fn forward(&mut self, batch: Batch) -> Result<Bytes, String> {
+        if let (Some(last), Some(first)) = (self.last_event_id, batch.first_id)
             && first != last + 1
         {
             return Err(format!("event {first} came after event {last}"));
@@ -201,83 +203,87 @@
         if let Some(source) = &mut self.source {
             let now = Instant::now();
             source.flow.events += batch.events;
-            source.flow.pause = source.flow.pause.max(now - source.last);
-            source.last = now;
+            source.flow.pause = source.flow.pause.max(now - source.last_event_at);
+            source.last_event_at = now;
         }
-        self.last = batch.last.or(self.last);
+        self.last_event_id = batch.last_id.or(self.last_event_id);
         Ok(batch.bytes)
     }
 
-    /// Goes on at another endpoint; false if that is not possible.
+    /// Resumes the stream at another endpoint; false if that is not possible.
     async fn resume(&mut self, cause: &str) -> bool {
         if let Some(source) = self.source.take() {
-            source.place.end(Outcome::Broken);
-            self.chain.broke(&self.job, &self.choice.endpoint);
+            source.permit.end(Outcome::Broken);
+            self.chain
+                .record_broken_connection(&self.job, &self.choice.endpoint);
         }
         let chain = Arc::clone(&self.chain);
-        while self.can_resume() && chain.may_repeat(&self.job, &mut self.progress) {
-            let mut ask = self.job.ask(&self.progress.avoid);
+        while self.can_resume() && chain.acquire_retry(&self.job, &mut self.progress) {
+            let mut ask = self.job.ask(&self.progress.tried);
             let now = chain.clock.now();
             ask.due = now;
             ask.first_by = ask.deadline;
-            let Ok((choice, place)) = chain.admission.admit(ask).await else {
+            let Ok((choice, permit)) = chain.admission.admit(ask).await else {
                 return false;
             };
             tracing::info!(
                 id = self.job.correlation,
                 from = %self.choice.endpoint,
                 to = %choice.endpoint,
-                after = self.last,
+                after = self.last_event_id,
                 cause,
-                "stream goes on elsewhere"
+                "stream is resumed at another endpoint"
             );
             chain.metrics.resumed.inc();
-            let attempt = attempt::send(&chain, &self.job, &choice, self.last, place).await;
-            let (place, outcome) = match attempt {
+            let attempt =
+                attempt::send(&chain, &self.job, &choice, self.last_event_id, permit).await;
+            let (permit, outcome) = match attempt {
                 Attempt::Stream(stream) => {
-                    self.progress.sent(&choice);
+                    self.progress.record_send(&choice);
                     self.choice = choice;
                     self.source = Some(Source {
                         body: stream.body,
                         splitter: stream.splitter,
-                        place: stream.place,
+                        permit: stream.permit,
                         flow: Flow::default(),
-                        last: Instant::now(),
+                        last_event_at: Instant::now(),
                     });
-                    self.first = Some(stream.first);
+                    self.pending = Some(stream.first);
                     return true;
                 }
-                Attempt::Unsent { place, .. } => {
-                    place.end(Outcome::Unreachable);
-                    chain.died(&choice.endpoint);
-                    self.progress.avoid.push(choice.endpoint);
+                Attempt::Unsent { permit, .. } => {
+                    permit.end(Outcome::Unreachable);
+                    chain.record_unreachable(&choice.endpoint);
+                    self.progress.tried.push(choice.endpoint);
                     continue;
                 }
-                Attempt::Rejected { place, status } => (place, attempt::rejection(status)),
-                Attempt::Broken { place, .. } => {
-                    chain.broke(&self.job, &choice.endpoint);
-                    (place, Outcome::Broken)
+                Attempt::Rejected { permit, status } => {
+                    (permit, attempt::rejection_outcome(status))
                 }
-                Attempt::Expired { place } => (place, Outcome::Cancelled),
-                Attempt::Failed { place, .. } | Attempt::Whole { place, .. } => {
-                    (place, Outcome::Failed)
+                Attempt::Broken { permit, .. } => {
+                    chain.record_broken_connection(&self.job, &choice.endpoint);
+                    (permit, Outcome::Broken)
+                }
+                Attempt::Expired { permit } => (permit, Outcome::Cancelled),
+                Attempt::Failed { permit, .. } | Attempt::Answered { permit, .. } => {
+                    (permit, Outcome::Failed)
                 }
             };
-            place.end(outcome);
-            self.progress.sent(&choice);
+            permit.end(outcome);
+            self.progress.record_send(&choice);
             self.choice = choice;
         }
         false
     }
 
-    /// Ends a stream that came whole.
+    /// Records that the stream ended and was relayed whole.
     fn finish(&mut self) {
         let Some(source) = self.source.take() else {
             return;
         };
         let flow = source.flow;
-        source.place.end(Outcome::Answered(flow));
-        self.chain.answered(
+        source.permit.end(Outcome::Answered(flow));
+        self.chain.record_answer(
             &self.job,
             &self.choice,
             &self.progress,
@@ -286,7 +292,7 @@
         );
     }
 
-    /// Breaks a stream off, so that the caller can tell.
+    /// Cuts the stream, so that the caller can tell it from a complete one.
     fn cut(&mut self, cause: &str) -> Cut {
         self.source = None;
         self.chain.metrics.cut.inc();
--- a/gateway/tests/test_events.rs
+++ b/gateway/tests/test_events.rs
@@ -1,4 +1,4 @@
-//! Cutting of streams into whole events.
+//! Splitting of streams into whole events.
 
 use dottereltally_gateway::events::Splitter;
 use rstest::rstest;
@@ -11,10 +11,10 @@
 #[case(3)]
 #[case(7)]
 #[case(100)]
-fn events_come_whole_however_the_bytes_come(#[case] step: usize) {
+fn events_are_split_whatever_the_size_of_the_parts(#[case] size: usize) {
     let mut splitter = Splitter::default();
     let (mut bytes, mut events, mut last) = (Vec::new(), 0, None);
-    for part in STREAM.as_bytes().chunks(step) {
+    for part in STREAM.as_bytes().chunks(size) {
         let Some(batch) = splitter.feed(part).unwrap() else {
             continue;
         };
@@ -22,7 +22,7 @@
         assert!(text.ends_with("\n\n") || text.ends_with("\r\n\r\n"));
         bytes.extend_from_slice(&batch.bytes);
         events += batch.events;
-        last = batch.last;
+        last = batch.last_id;
     }
     assert_eq!(bytes, STREAM.as_bytes());
     assert_eq!(events, 3);
@@ -31,13 +31,13 @@
 }
 
 #[test]
-fn an_unfinished_event_stays_back() {
+fn an_unfinished_event_stays_buffered() {
     let mut splitter = Splitter::default();
     let batch = splitter
         .feed(b"id: 1\ndata: a\n\nid: 2\nda")
         .unwrap()
         .unwrap();
-    assert_eq!((batch.first, batch.last), (Some(1), Some(1)));
+    assert_eq!((batch.first_id, batch.last_id), (Some(1), Some(1)));
     assert!(!splitter.is_empty());
 }
 
@@ -56,5 +56,5 @@
         .feed(b"weights: 2\nid: 9\ndata: a\n\n")
         .unwrap()
         .unwrap();
-    assert_eq!((batch.events, batch.first), (1, Some(9)));
+    assert_eq!((batch.events, batch.first_id), (1, Some(9)));
 }
--- a/gateway/tests/test_home.rs
+++ b/gateway/tests/test_home.rs
@@ -1,4 +1,4 @@
-//! Decisions of a home for another node.
+//! Decisions that a home makes for another node.
 
 mod common;
 
@@ -78,7 +78,8 @@
     }
 }
 
-/// Links a node to the first of these; dropping the sender ends the link.
+/// Links a node to the first of `nodes`; the link ends when the sender is
+/// dropped.
 fn link(name: &str, own: &Handle, clock: Clock, nodes: Vec<Node>) -> watch::Sender<Vec<Node>> {
     let homes = watch::Sender::new(nodes);
     let name = id::Node::from(name);
@@ -86,10 +87,10 @@
     homes
 }
 
-/// Passes bytes on between a node and its home, one connection after another.
+/// Forwards bytes between a node and its home, one connection after another.
 struct Proxy {
     address: String,
-    silence: watch::Sender<bool>,
+    stalled: watch::Sender<bool>,
     accepted: Rc<Cell<u32>>,
     task: JoinHandle<()>,
 }
@@ -98,8 +99,8 @@
     async fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap().to_string();
-        let silence = watch::Sender::new(false);
-        let mut silenced = silence.subscribe();
+        let stalled = watch::Sender::new(false);
+        let mut stalled_receiver = stalled.subscribe();
         let accepted = Rc::<Cell<u32>>::default();
         let counted = Rc::clone(&accepted);
         let task = spawn_local(async move {
@@ -108,13 +109,13 @@
                 let mut far = TcpStream::connect(target).await.unwrap();
                 select! {
                     _ = copy_bidirectional(&mut near, &mut far) => {}
-                    _ = silenced.wait_for(|silent| *silent) => pending().await,
+                    _ = stalled_receiver.wait_for(|silent| *silent) => pending().await,
                 }
             }
         });
         Self {
             address,
-            silence,
+            stalled,
             accepted,
             task,
         }
@@ -171,20 +172,20 @@
 
     async fn linked() -> Self {
         let pair = Self::start().await;
-        until(|| pair.node.has_home()).await;
+        wait_until(|| pair.node.has_home()).await;
         pair
     }
 }
 
-/// Waits for an event that the other side causes.
-async fn until(happened: impl Fn() -> bool) {
-    while !happened() {
+/// Waits for a change that the other side causes.
+async fn wait_until(condition: impl Fn() -> bool) {
+    while !condition() {
         sleep(Duration::from_millis(1)).await;
     }
 }
 
-/// Requests that a node has at the endpoint by its own count.
-fn held(handle: &Handle) -> u32 {
+/// Returns the number of requests that a node itself counts at the endpoint.
+fn in_flight(handle: &Handle) -> u32 {
     let held: HashMap<id::Endpoint, Held> = handle.held().into_iter().collect();
     held.values().map(|held| held.requests).sum()
 }
@@ -207,53 +208,53 @@
 }
 
 #[tokio::test]
-async fn a_home_decides_and_counts() {
+async fn a_home_decides_and_counts_the_request() {
     let test = async {
         let pair = Pair::linked().await;
-        let (choice, place) = pair.node.admit(ask(pair.clock)).await.unwrap();
+        let (choice, permit) = pair.node.admit(ask(pair.clock)).await.unwrap();
         assert_eq!(choice.endpoint.as_str(), "e");
-        assert!(place.is_delegated());
-        assert_eq!((held(&pair.node), held(&pair.home)), (0, 1));
-        place.start();
-        place.end(Outcome::Answered(Flow::default()));
-        until(|| held(&pair.home) == 0).await;
+        assert!(permit.is_delegated());
+        assert_eq!((in_flight(&pair.node), in_flight(&pair.home)), (0, 1));
+        permit.record_first_byte();
+        permit.end(Outcome::Answered(Flow::default()));
+        wait_until(|| in_flight(&pair.home) == 0).await;
     };
     LocalSet::new().run_until(test).await;
 }
 
 #[tokio::test]
-async fn a_request_that_is_taken_back_at_the_home_uses_no_place() {
+async fn a_request_withdrawn_at_the_home_uses_no_place() {
     let test = async {
         let pair = Pair::linked().await;
-        let mut places = Vec::new();
+        let mut permits = Vec::new();
         for _ in 0..PLACES {
-            places.push(pair.node.admit(ask(pair.clock)).await.unwrap());
+            permits.push(pair.node.admit(ask(pair.clock)).await.unwrap());
         }
         let waiting = spawn_local({
             let (handle, ask) = (pair.node.clone(), ask(pair.clock));
             async move { handle.admit(ask).await.map(|_| ()) }
         });
-        until(|| pair.home.read(Gate::waiting) > 0).await;
+        wait_until(|| pair.home.read(Gate::waiting) > 0).await;
         waiting.abort();
-        until(|| pair.home.read(Gate::waiting) == 0).await;
-        drop(places);
-        until(|| pair.home.read(Gate::running) == 0).await;
+        wait_until(|| pair.home.read(Gate::waiting) == 0).await;
+        drop(permits);
+        wait_until(|| pair.home.read(Gate::running) == 0).await;
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// A request that waits at a home which ends, or falls silent, is decided by
-/// the node, which counts what it has from then on.
+/// If a home closes the connection or stops answering, the node decides on the
+/// requests that wait there, and counts its requests itself from then on.
 #[rstest]
 #[case::ended(false)]
 #[case::silent(true)]
 #[tokio::test]
-async fn a_node_decides_itself_when_its_home_is_gone(#[case] silent: bool) {
+async fn a_node_decides_alone_when_its_home_is_gone(#[case] silent: bool) {
     let test = async {
         let pair = Pair::linked().await;
-        let mut places = Vec::new();
+        let mut permits = Vec::new();
         for _ in 0..PLACES {
-            places.push(pair.node.admit(ask(pair.clock)).await.unwrap().1);
+            permits.push(pair.node.admit(ask(pair.clock)).await.unwrap().1);
         }
         let waiting = spawn_local({
             let (handle, ask) = (pair.node.clone(), ask(pair.clock));
@@ -261,18 +262,18 @@
                 handle
                     .admit(ask)
                     .await
-                    .map(|(_, place)| place.is_delegated())
+                    .map(|(_, permit)| permit.is_delegated())
             }
         });
-        until(|| pair.home.read(Gate::waiting) > 0).await;
+        wait_until(|| pair.home.read(Gate::waiting) > 0).await;
         if silent {
-            pair.proxy.silence.send_replace(true);
+            pair.proxy.stalled.send_replace(true);
         } else {
             pair.proxy.task.abort();
         }
-        until(|| pair.node.read(Gate::waiting) > 0).await;
-        assert_eq!(held(&pair.node), PLACES);
-        places.pop();
+        wait_until(|| pair.node.read(Gate::waiting) > 0).await;
+        assert_eq!(in_flight(&pair.node), PLACES);
+        permits.pop();
         assert!(!waiting.await.unwrap().unwrap());
     };
     LocalSet::new().run_until(test).await;
@@ -282,7 +283,7 @@
 #[case::silent(true)]
 #[case::closing(false)]
 #[tokio::test]
-async fn a_home_that_does_not_answer_is_passed_over(#[case] silent: bool) {
+async fn a_home_that_does_not_answer_is_skipped(#[case] silent: bool) {
     let test = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap().to_string();
@@ -299,15 +300,15 @@
         let own = handle(clock);
         let _homes = link("node", &own, clock, vec![node("home", 1, &address)]);
         // The second try comes after the first one has failed.
-        until(|| tries.get() >= 2).await;
-        let (_, place) = own.admit(ask(clock)).await.unwrap();
-        assert!(!place.is_delegated());
+        wait_until(|| tries.get() >= 2).await;
+        let (_, permit) = own.admit(ask(clock)).await.unwrap();
+        assert!(!permit.is_delegated());
     };
     LocalSet::new().run_until(test).await;
 }
 
 #[tokio::test]
-async fn a_home_that_stops_takes_no_new_node() {
+async fn a_home_that_shuts_down_takes_no_new_node() {
     let test = async {
         let pair = Pair::linked().await;
         pair.phase.announce();
@@ -320,15 +321,15 @@
             vec![node("home", 1, &proxy.address)],
         );
         // The second try comes after the first one was refused.
-        until(|| proxy.accepted.get() >= 2).await;
-        let (_, place) = other.admit(ask(pair.clock)).await.unwrap();
-        assert!(!place.is_delegated());
+        wait_until(|| proxy.accepted.get() >= 2).await;
+        let (_, permit) = other.admit(ask(pair.clock)).await.unwrap();
+        assert!(!permit.is_delegated());
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// Pattern: all nodes of a data centre start at once and none is ready; a node
-/// does not try every other one.
+/// All nodes of a data centre start at once and none is ready: a node must not
+/// try every other one as its home.
 #[tokio::test]
 async fn few_nodes_are_tried_while_none_is_ready() {
     let test = async {
@@ -348,8 +349,8 @@
         let clock = Clock::start();
         let own = handle(clock);
         let homes = link("node", &own, clock, nodes);
-        until(|| tried.borrow().len() >= 3).await;
-        // Wakes the link, which has passed the first ones over.
+        wait_until(|| tried.borrow().len() >= 3).await;
+        // Wakes the link, which skips the first ones by now.
         for _ in 0..20 {
             homes.send_modify(|_| {});
             sleep(Duration::from_millis(1)).await;
