--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A chain over loopback, endpoints that follow a script, and a plain caller.
+//! A gateway on loopback, endpoints that follow a script, and a plain caller.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -41,15 +41,15 @@
     time::sleep,
 };
 
-/// Headers with short names of their own.
-pub struct Plain;
+/// Headers with short names, for tests only.
+pub struct TestHeaders;
 
 fn text(headers: &HeaderMap, name: &str) -> Option<String> {
     let value = headers.get(name)?.to_str().ok()?;
     Some(value.to_owned())
 }
 
-impl Dialect for Plain {
+impl Dialect for TestHeaders {
     fn read(&self, headers: &HeaderMap) -> Result<Head, Malformed> {
         let correlation =
             text(headers, "x-id").ok_or_else(|| Malformed("send `x-id`".to_owned()))?;
@@ -106,15 +106,15 @@
 pub enum Step {
     /// Sends bytes; `{id}` is replaced by the id of the request.
     Send(String),
-    /// Waits until the test says so.
+    /// Waits until the test sends the signal.
     Wait(Arc<Notify>),
-    /// Waits until the caller of the endpoint closes the connection.
+    /// Waits until the gateway closes the connection.
     Hang,
     /// Closes the connection.
     Close,
 }
 
-/// An endpoint that follows a script, one entry a request.
+/// An endpoint that follows a script, one entry per request.
 pub struct Endpoint {
     pub address: SocketAddr,
     requests: Arc<Mutex<Vec<String>>>,
@@ -138,14 +138,14 @@
                 let requests = Arc::clone(&requests);
                 let closed = Arc::clone(&closed);
                 let script = Arc::clone(&script);
-                tokio::spawn(serve(stream, requests, closed, script));
+                tokio::spawn(run_script(stream, requests, closed, script));
             }
         });
         endpoint
     }
 
-    /// Returns an endpoint whose port nobody listens on.
-    pub async fn closed_port() -> Self {
+    /// Returns an endpoint with an address that nobody listens on.
+    pub async fn unreachable() -> Self {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         Self {
@@ -154,20 +154,20 @@
         }
     }
 
-    /// Returns the requests that arrived, heads and bodies.
+    /// Returns the requests that arrived, each with its headers and body.
     pub fn requests(&self) -> Vec<String> {
         self.requests.lock().unwrap().clone()
     }
 
-    /// Waits until the gateway closed a connection on which the endpoint hung.
-    pub async fn closed(&self) {
+    /// Waits until the gateway has closed a connection at a [`Step::Hang`].
+    pub async fn wait_for_close(&self) {
         while self.closed.load(Ordering::SeqCst) == 0 {
             sleep(Duration::from_millis(5)).await;
         }
     }
 }
 
-async fn serve(
+async fn run_script(
     mut stream: TcpStream,
     requests: Arc<Mutex<Vec<String>>>,
     closed: Arc<AtomicUsize>,
@@ -182,7 +182,7 @@
         let steps = {
             let mut script = script.lock().unwrap();
             if script.is_empty() {
-                vec![whole(200, "usual")]
+                vec![answer_with(200, "usual")]
             } else {
                 script.remove(0)
             }
@@ -243,15 +243,15 @@
     None
 }
 
-/// Answers whole.
-pub fn whole(status: u16, body: &str) -> Step {
+/// Sends a whole answer.
+pub fn answer_with(status: u16, body: &str) -> Step {
     Step::Send(format!(
         "HTTP/1.1 {status} X\r\nx-id: {{id}}\r\nx-seal: s\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
     ))
 }
 
-/// Begins a stream.
+/// Sends the headers of a stream.
 pub fn stream_head() -> Step {
     Step::Send(
         "HTTP/1.1 200 OK\r\nx-id: {id}\r\nx-seal: s\r\ncontent-type: text/event-stream\r\n\
@@ -275,7 +275,7 @@
     Step::Send("0\r\n\r\n".to_owned())
 }
 
-/// Returns a route of one service.
+/// Returns a route to one service.
 pub fn route(prefix: &str, repeat: Repeat, attempts: u32) -> Route {
     Route {
         name: id::Route::from(prefix),
@@ -297,7 +297,7 @@
     }
 }
 
-/// The routes that the tests use.
+/// Returns a plan with the routes that the tests use.
 pub fn plan() -> Plan {
     let mut streaming = route("/stream/", Repeat::Resume, 3);
     streaming.streaming = true;
@@ -328,8 +328,9 @@
     plan
 }
 
-/// Adds keys: `key` belongs to the workspace `w` with a small quota.
-pub fn keyed(mut plan: Plan) -> Plan {
+/// Makes the plan require keys: `key` belongs to the workspace `w`, which has a
+/// small quota.
+pub fn with_keys(mut plan: Plan) -> Plan {
     let mut workspaces = Workspaces::default();
     let name = id::Workspace::from("w");
     workspaces.keys.insert("key".to_owned(), name.clone());
@@ -349,10 +350,10 @@
     plan
 }
 
-/// A gateway over loopback.
+/// A gateway on loopback.
 pub struct Gateway {
     pub address: SocketAddr,
-    pub chain: Arc<Chain<Plain>>,
+    pub chain: Arc<Chain<TestHeaders>>,
     pub plan: watch::Sender<Option<Arc<Plan>>>,
 }
 
@@ -369,7 +370,8 @@
                 id: id::Endpoint::from(format!("e{number}")),
                 address: endpoint.address.to_string(),
                 service: id::Service::from("s"),
-                // Others are farther, so that the first is tried first.
+                // The others are in another data centre, so that the first one is
+                // tried first.
                 data_centre: id::DataCentre::from(if number == 0 { "dc" } else { "far" }),
                 standing: Standing::Live,
                 places: Some(4),
@@ -379,7 +381,7 @@
         let plan = watch::Sender::new(plan.map(Arc::new));
         let chain = Arc::new(Chain {
             clock,
-            dialect: Plain,
+            dialect: TestHeaders,
             plan: plan.subscribe(),
             admission: admission::Handle::new(gate, clock),
             upstream: Pool::new(Limits::default()),
@@ -415,7 +417,7 @@
         }
     }
 
-    /// Sends raw bytes and returns all that comes until the connection ends.
+    /// Sends raw bytes and returns all that arrives until the connection ends.
     pub async fn raw(&self, bytes: &str) -> String {
         let mut stream = TcpStream::connect(self.address).await.unwrap();
         stream.write_all(bytes.as_bytes()).await.unwrap();
@@ -425,7 +427,7 @@
         String::from_utf8_lossy(&answer).into_owned()
     }
 
-    /// Asks for a path once.
+    /// Sends a `GET` request on a connection of its own.
     pub async fn get(&self, path: &str, headers: &str) -> String {
         let request = format!(
             "GET {path} HTTP/1.1\r\nhost: a.example\r\nx-id: one\r\nconnection: close\r\n{headers}\r\n"
--- a/gateway/tests/test_chain.rs
+++ b/gateway/tests/test_chain.rs
@@ -1,17 +1,19 @@
-//! The steps that serve a request, against endpoints that misbehave.
+//! Serving requests, also with endpoints that misbehave.
 
 mod common;
 
 use std::{sync::Arc, time::Duration};
 
-use common::{Endpoint, Gateway, Step, header, keyed, plan, read_message, route, status, whole};
+use common::{
+    Endpoint, Gateway, Step, answer_with, header, plan, read_message, route, status, with_keys,
+};
 use dottereltally_lib::{budget::Terms, id, route::Repeat};
 use rstest::rstest;
 use tokio::{io::AsyncWriteExt, net::TcpStream, sync::Notify, time::timeout};
 
 #[tokio::test]
-async fn an_answer_is_passed_on_as_it_is() {
-    let endpoint = Endpoint::start(vec![vec![whole(404, "nothing here")]]).await;
+async fn an_answer_is_forwarded_unchanged() {
+    let endpoint = Endpoint::start(vec![vec![answer_with(404, "nothing here")]]).await;
     let gateway = Gateway::start(Some(plan()), &[&endpoint]).await;
     let answer = gateway
         .get("/safe/x?y=1", "x-other: kept\r\nx-left: 900\r\n")
@@ -31,28 +33,28 @@
 #[rstest]
 #[case::other_request("HTTP/1.1 200 X\r\nx-id: other\r\nx-seal: s\r\ncontent-length: 1\r\n\r\nx")]
 #[case::unsealed("HTTP/1.1 200 X\r\nx-id: {id}\r\ncontent-length: 1\r\n\r\nx")]
-#[case::short("HTTP/1.1 200 X\r\nx-id: {id}\r\nx-seal: s\r\ncontent-length: 9\r\n\r\nx")]
-#[case::no_answer("this is no answer\r\n\r\n")]
-#[case::nothing("")]
+#[case::truncated("HTTP/1.1 200 X\r\nx-id: {id}\r\nx-seal: s\r\ncontent-length: 9\r\n\r\nx")]
+#[case::not_http("this is no answer\r\n\r\n")]
+#[case::empty("")]
 #[case::encoded(
     "HTTP/1.1 200 X\r\nx-id: {id}\r\nx-seal: s\r\ncontent-encoding: gzip\r\ncontent-length: 1\r\n\r\nx"
 )]
 #[tokio::test]
-async fn what_is_no_whole_own_answer_reaches_nobody(#[case] bytes: &str) {
+async fn an_invalid_answer_does_not_reach_the_caller(#[case] bytes: &str) {
     let script = vec![vec![Step::Send(bytes.to_owned()), Step::Close]];
     let broken = Endpoint::start(script.clone()).await;
-    let sound = Endpoint::start(Vec::new()).await;
-    let gateway = Gateway::start(Some(plan()), &[&broken, &sound]).await;
+    let healthy = Endpoint::start(Vec::new()).await;
+    let gateway = Gateway::start(Some(plan()), &[&broken, &healthy]).await;
     let answer = gateway.get("/safe/x", "").await;
-    assert_eq!(status(&answer), 200, "a safe request is sent again");
+    assert_eq!(status(&answer), 200, "a safe request is retried");
     assert!(answer.ends_with("usual"));
 
     let broken = Endpoint::start(script).await;
-    let gateway = Gateway::start(Some(plan()), &[&broken, &sound]).await;
+    let gateway = Gateway::start(Some(plan()), &[&broken, &healthy]).await;
     let answer = gateway.get("/once/x", "").await;
-    assert_eq!(status(&answer), 502, "another one may have run");
+    assert_eq!(status(&answer), 502, "the endpoint may have run it");
     assert!(answer.contains("may-have-run"));
-    assert_eq!(sound.requests().len(), 1, "it is not sent again");
+    assert_eq!(healthy.requests().len(), 1, "it is not retried");
 }
 
 #[rstest]
@@ -61,9 +63,9 @@
 #[tokio::test]
 async fn a_rejected_request_may_go_elsewhere(#[case] path: &str, #[case] expected: u16) {
     let reject = "HTTP/1.1 503 X\r\nx-id: {id}\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n";
-    let full = Endpoint::start(vec![vec![Step::Send(reject.to_owned())]]).await;
-    let sound = Endpoint::start(Vec::new()).await;
-    let gateway = Gateway::start(Some(plan()), &[&full, &sound]).await;
+    let rejecting = Endpoint::start(vec![vec![Step::Send(reject.to_owned())]]).await;
+    let healthy = Endpoint::start(Vec::new()).await;
+    let gateway = Gateway::start(Some(plan()), &[&rejecting, &healthy]).await;
     assert_eq!(status(&gateway.get(path, "").await), expected);
 }
 
@@ -82,24 +84,27 @@
 }
 
 #[tokio::test]
-async fn a_failure_of_the_endpoint_is_repeated_only_where_that_is_safe() {
-    let failing = Endpoint::start(vec![vec![whole(500, "oops")]; 2]).await;
-    let sound = Endpoint::start(Vec::new()).await;
-    let gateway = Gateway::start(Some(plan()), &[&failing, &sound]).await;
+async fn an_endpoint_failure_is_retried_only_on_safe_routes() {
+    let failing = Endpoint::start(vec![vec![answer_with(500, "oops")]; 2]).await;
+    let healthy = Endpoint::start(Vec::new()).await;
+    let gateway = Gateway::start(Some(plan()), &[&failing, &healthy]).await;
     assert_eq!(status(&gateway.get("/safe/x", "").await), 200);
 
-    let failing = Endpoint::start(vec![vec![whole(500, "oops")]; 2]).await;
-    let gateway = Gateway::start(Some(plan()), &[&failing, &sound]).await;
+    let failing = Endpoint::start(vec![vec![answer_with(500, "oops")]; 2]).await;
+    let gateway = Gateway::start(Some(plan()), &[&failing, &healthy]).await;
     let answer = gateway.get("/once/x", "").await;
     assert_eq!(status(&answer), 500);
-    assert!(answer.ends_with("oops"), "its own answer is passed on");
+    assert!(
+        answer.ends_with("oops"),
+        "the endpoint's own answer is forwarded"
+    );
 }
 
 #[tokio::test]
 async fn an_unreachable_endpoint_costs_no_attempt() {
-    let closed = Endpoint::closed_port().await;
-    let sound = Endpoint::start(Vec::new()).await;
-    let gateway = Gateway::start(Some(plan()), &[&closed, &sound]).await;
+    let unreachable = Endpoint::unreachable().await;
+    let healthy = Endpoint::start(Vec::new()).await;
+    let gateway = Gateway::start(Some(plan()), &[&unreachable, &healthy]).await;
     assert_eq!(status(&gateway.get("/once/x", "").await), 200);
 }
 
@@ -109,11 +114,11 @@
     let gateway = Gateway::start(Some(plan()), &[&endpoint]).await;
     let answer = gateway.get("/short/x", "").await;
     assert_eq!(status(&answer), 504);
-    endpoint.closed().await;
+    endpoint.wait_for_close().await;
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_is_followed_upstream() {
+async fn a_caller_that_leaves_cancels_the_request_at_the_endpoint() {
     let endpoint = Endpoint::start(vec![vec![Step::Hang]]).await;
     let gateway = Gateway::start(Some(plan()), &[&endpoint]).await;
     let mut caller = TcpStream::connect(gateway.address).await.unwrap();
@@ -125,13 +130,13 @@
         tokio::task::yield_now().await;
     }
     drop(caller);
-    timeout(Duration::from_secs(30), endpoint.closed())
+    timeout(Duration::from_secs(30), endpoint.wait_for_close())
         .await
-        .expect("the endpoint sees the caller leave");
+        .expect("the connection to the endpoint is closed");
 }
 
 #[tokio::test]
-async fn nodes_without_a_plan_promise_that_nothing_ran() {
+async fn a_node_without_a_plan_reports_that_nothing_ran() {
     let gateway = Gateway::start(None, &[]).await;
     let answer = gateway.get("/safe/x", "").await;
     assert_eq!(status(&answer), 503);
@@ -150,7 +155,7 @@
     #[case] expected: u16,
 ) {
     let endpoint = Endpoint::start(Vec::new()).await;
-    let gateway = Gateway::start(Some(keyed(plan())), &[&endpoint]).await;
+    let gateway = Gateway::start(Some(with_keys(plan())), &[&endpoint]).await;
     assert_eq!(status(&gateway.get(path, headers).await), expected);
     for request in endpoint.requests() {
         assert_eq!(header(&request, "x-workspace").as_deref(), Some("w"));
@@ -161,9 +166,9 @@
 #[tokio::test]
 async fn a_revoked_key_is_refused_from_the_next_plan_on() {
     let endpoint = Endpoint::start(Vec::new()).await;
-    let gateway = Gateway::start(Some(keyed(plan())), &[&endpoint]).await;
+    let gateway = Gateway::start(Some(with_keys(plan())), &[&endpoint]).await;
     assert_eq!(status(&gateway.get("/safe/x", "x-key: key\r\n").await), 200);
-    let mut next = keyed(plan());
+    let mut next = with_keys(plan());
     next.generation = id::Generation(2);
     next.workspaces.as_mut().unwrap().keys.clear();
     gateway.plan.send_replace(Some(next.into()));
@@ -171,9 +176,9 @@
 }
 
 #[tokio::test]
-async fn a_workspace_beyond_its_quota_is_told_when_to_come_back() {
+async fn a_workspace_over_its_quota_gets_a_retry_after() {
     let endpoint = Endpoint::start(Vec::new()).await;
-    let gateway = Gateway::start(Some(keyed(plan())), &[&endpoint]).await;
+    let gateway = Gateway::start(Some(with_keys(plan())), &[&endpoint]).await;
     let mut last = String::new();
     for _ in 0..40 {
         last = gateway.get("/safe/x", "x-key: key\r\n").await;
@@ -205,7 +210,8 @@
     assert!(endpoint.requests().is_empty());
 }
 
-/// A request behind one whose length can be read in two ways is not run.
+/// Request smuggling: a request behind one whose length can be read in two ways
+/// is not run.
 #[rstest]
 #[case("transfer-encoding: chunked\r\ncontent-length: 5\r\n")]
 #[case("content-length: 5\r\ntransfer-encoding: chunked\r\n")]
@@ -235,38 +241,38 @@
 }
 
 #[tokio::test]
-async fn a_stop_lets_running_requests_end() {
-    let signal = Arc::<Notify>::default();
-    let slow = vec![Step::Wait(Arc::clone(&signal)), whole(200, "slow")];
-    let endpoint = Endpoint::start(vec![vec![whole(200, "first")], slow]).await;
+async fn a_drain_lets_running_requests_end() {
+    let release = Arc::<Notify>::default();
+    let slow = vec![Step::Wait(Arc::clone(&release)), answer_with(200, "slow")];
+    let endpoint = Endpoint::start(vec![vec![answer_with(200, "first")], slow]).await;
     let gateway = Gateway::start(Some(plan()), &[&endpoint]).await;
     let mut caller = TcpStream::connect(gateway.address).await.unwrap();
     let request = b"GET /safe/x HTTP/1.1\r\nhost: a.example\r\nx-id: one\r\n\r\n";
     caller.write_all(request).await.unwrap();
     let answer = read_message(&mut caller).await.unwrap();
-    assert_eq!(status(&answer), 200, "the connection is kept");
+    assert_eq!(status(&answer), 200, "the connection stays open");
     caller.write_all(request).await.unwrap();
     while endpoint.requests().len() < 2 {
         tokio::task::yield_now().await;
     }
     gateway.chain.phase.drain();
-    signal.notify_one();
+    release.notify_one();
     let answer = read_message(&mut caller).await.unwrap();
     assert_eq!(status(&answer), 200);
     assert!(answer.ends_with("slow"));
 }
 
 #[test]
-fn routes_of_the_tests_allow_what_they_say() {
+fn a_test_route_has_the_given_attempts() {
     assert_eq!(route("/x/", Repeat::Never, 1).attempts, 1);
 }
 
-/// One unit of the budget is left: it is enough for one repeat.
+/// One unit of the retry budget is left, which is enough for one retry.
 #[tokio::test]
-async fn a_repeat_costs_one_unit_of_the_budget() {
-    let failing = Endpoint::start(vec![vec![whole(500, "oops")]]).await;
-    let sound = Endpoint::start(Vec::new()).await;
-    let gateway = Gateway::start(Some(plan()), &[&failing, &sound]).await;
+async fn a_retry_costs_one_unit_of_the_budget() {
+    let failing = Endpoint::start(vec![vec![answer_with(500, "oops")]]).await;
+    let healthy = Endpoint::start(Vec::new()).await;
+    let gateway = Gateway::start(Some(plan()), &[&failing, &healthy]).await;
     {
         let mut budget = gateway.chain.budget.lock().unwrap();
         budget.agree(Terms {
@@ -281,12 +287,12 @@
     assert_eq!(status(&gateway.get("/safe/x", "").await), 200);
 }
 
-/// A repeat that gets no endpoint does not hide the first endpoint's answer.
+/// A retry that reaches no endpoint does not hide the first endpoint's answer.
 #[tokio::test]
-async fn a_failure_without_a_second_endpoint_is_passed_on() {
-    let failing = Endpoint::start(vec![vec![whole(500, "oops")]]).await;
-    let closed = Endpoint::closed_port().await;
-    let gateway = Gateway::start(Some(plan()), &[&failing, &closed]).await;
+async fn a_failure_without_a_second_endpoint_is_forwarded() {
+    let failing = Endpoint::start(vec![vec![answer_with(500, "oops")]]).await;
+    let unreachable = Endpoint::unreachable().await;
+    let gateway = Gateway::start(Some(plan()), &[&failing, &unreachable]).await;
     let answer = gateway.get("/safe/x", "").await;
     assert_eq!(status(&answer), 500);
     assert!(answer.ends_with("oops"), "the endpoint's own answer");
--- a/gateway/tests/test_exchange.rs
+++ b/gateway/tests/test_exchange.rs
@@ -37,7 +37,7 @@
         sequence: 3,
     };
     Snapshot {
-        plan: Some(common::keyed(plan())),
+        plan: Some(common::with_keys(plan())),
         endpoints: [(id::Endpoint::from("e"), entry)].into(),
         nodes: vec![Node {
             name: id::Node::from("n"),
--- a/gateway/tests/test_relay.rs
+++ b/gateway/tests/test_relay.rs
@@ -1,4 +1,4 @@
-//! Streams that are passed on, resumed and cut.
+//! Streams that are relayed, resumed and cut.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use rstest::rstest;
 
 #[tokio::test]
-async fn a_stream_is_passed_on_whole() {
+async fn a_stream_is_relayed_whole() {
     let script = vec![vec![stream_head(), event(1), event(2), stream_end()]];
     let endpoint = Endpoint::start(script).await;
     let gateway = Gateway::start(Some(plan()), &[&endpoint]).await;
@@ -26,29 +26,29 @@
 #[case::with_a_gap(vec![stream_head(), event(1), event(2), event(4), Step::Close])]
 #[case::with_a_repetition(vec![stream_head(), event(1), event(2), event(2), Step::Close])]
 #[tokio::test]
-async fn a_broken_stream_goes_on_elsewhere(#[case] steps: Vec<Step>) {
+async fn a_broken_stream_is_resumed_at_another_endpoint(#[case] steps: Vec<Step>) {
     let broken = Endpoint::start(vec![steps]).await;
     let script = vec![vec![stream_head(), event(3), event(4), stream_end()]];
-    let sound = Endpoint::start(script).await;
-    let gateway = Gateway::start(Some(plan()), &[&broken, &sound]).await;
+    let healthy = Endpoint::start(script).await;
+    let gateway = Gateway::start(Some(plan()), &[&broken, &healthy]).await;
     let answer = gateway.get("/stream/x", "").await;
     assert_eq!(events(&answer), ["d1", "d2", "d3", "d4"]);
     assert!(is_whole(&answer));
-    let resumed = &sound.requests()[0];
+    let resumed = &healthy.requests()[0];
     assert_eq!(header(resumed, "x-after").as_deref(), Some("2"));
     assert_eq!(header(resumed, "x-id").as_deref(), Some("one"));
 }
 
 #[tokio::test]
-async fn a_stream_that_may_not_be_resumed_is_cut_so_that_it_shows() {
+async fn a_stream_that_may_not_be_resumed_is_cut_visibly() {
     let script = vec![vec![stream_head(), event(1), Step::Close]];
     let broken = Endpoint::start(script).await;
-    let sound = Endpoint::start(Vec::new()).await;
-    let gateway = Gateway::start(Some(plan()), &[&broken, &sound]).await;
+    let healthy = Endpoint::start(Vec::new()).await;
+    let gateway = Gateway::start(Some(plan()), &[&broken, &healthy]).await;
     let answer = gateway.get("/stream-once/x", "").await;
     assert_eq!(events(&answer), ["d1"]);
     assert!(!is_whole(&answer));
-    assert!(sound.requests().is_empty());
+    assert!(healthy.requests().is_empty());
 }
 
 #[tokio::test]
@@ -62,18 +62,18 @@
 }
 
 #[tokio::test]
-async fn a_second_endpoint_that_skips_events_does_not_get_through() {
+async fn events_after_a_gap_at_a_second_endpoint_are_not_relayed() {
     let broken = Endpoint::start(vec![vec![stream_head(), event(1), Step::Close]]).await;
-    let wrong = vec![vec![stream_head(), event(5), stream_end()]; 3];
-    let wrong = Endpoint::start(wrong).await;
-    let gateway = Gateway::start(Some(plan()), &[&broken, &wrong]).await;
+    let skipping = vec![vec![stream_head(), event(5), stream_end()]; 3];
+    let skipping = Endpoint::start(skipping).await;
+    let gateway = Gateway::start(Some(plan()), &[&broken, &skipping]).await;
     let answer = gateway.get("/stream/x", "").await;
     assert_eq!(events(&answer), ["d1"]);
     assert!(!is_whole(&answer));
 }
 
 #[tokio::test]
-async fn a_caller_that_resumes_gets_what_follows() {
+async fn a_caller_that_resumes_gets_the_following_events() {
     let script = vec![vec![stream_head(), event(8), stream_end()]];
     let endpoint = Endpoint::start(script).await;
     let gateway = Gateway::start(Some(plan()), &[&endpoint]).await;
