--- a/gateway/src/beat.rs
+++ b/gateway/src/beat.rs
@@ -1,4 +1,4 @@
-//! What one node tells the others several times a second.
+//! Heartbeats, which each node sends to the others several times a second.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -13,36 +13,37 @@
 };
 use dottereltally_proto::gateway_capnp::{beat, held};
 
-/// Words of the largest beat that is read, 64 KiB.
+/// Size limit of a heartbeat that is read, in 8-byte words: 64 KiB.
 const MAX_WORDS: usize = 8 * 1024;
 
-/// One beat.
+/// A heartbeat: the state of one node.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Beat {
-    /// The node that tells.
+    /// The node that sends it.
     pub node: id::Node,
-    /// Differs between two processes of the same node.
+    /// Identifies the process of the node; a restarted node has another one.
     pub incarnation: u64,
-    /// Number of the beat in its process.
+    /// Number of the heartbeat, counted from the process's start.
     pub sequence: u64,
     /// The node's data centre.
     pub data_centre: DataCentre,
-    /// Generation of the plan in force there.
+    /// Generation of the plan in force at the node.
     pub generation: Generation,
-    /// Its requests at endpoints.
+    /// What it holds at each endpoint.
     pub held: Vec<(Endpoint, Held)>,
-    /// Its use of quotas.
+    /// Its use of the quotas.
     pub usage: BTreeMap<Workspace, Usage>,
-    /// Requests that may crash endpoints, with the time that it holds on.
+    /// Requests that may crash endpoints, each with the time for which it stays
+    /// marked.
     pub marks: Vec<(Fingerprint, Duration)>,
 }
 
 impl Beat {
-    /// Writes the beat as one datagram.
+    /// Encodes the heartbeat as one datagram.
     ///
     /// # Errors
     ///
-    /// Fails if the message can't be written.
+    /// Fails if the message can't be serialized.
     pub fn encode(&self) -> capnp::Result<Vec<u8>> {
         let mut message = Builder::new_default();
         let mut root = message.init_root::<beat::Builder<'_>>();
@@ -73,11 +74,11 @@
         Ok(bytes)
     }
 
-    /// Reads a beat from a datagram.
+    /// Decodes a heartbeat.
     ///
     /// # Errors
     ///
-    /// Fails if the datagram is no beat.
+    /// Fails if the datagram is not a heartbeat.
     pub fn decode(bytes: &[u8]) -> capnp::Result<Self> {
         let mut options = ReaderOptions::new();
         options.traversal_limit_in_words(Some(MAX_WORDS));
@@ -109,7 +110,7 @@
     }
 }
 
-/// Writes what a node holds at endpoints.
+/// Writes what a node holds at each endpoint.
 pub(crate) fn write_held(
     entries: &[(Endpoint, Held)],
     mut list: capnp::struct_list::Builder<'_, held::Owned>,
@@ -124,7 +125,7 @@
     }
 }
 
-/// Reads what a node holds at endpoints.
+/// Reads what a node holds at each endpoint.
 pub(crate) fn read_held(
     list: capnp::struct_list::Reader<'_, held::Owned>,
 ) -> Result<Vec<(Endpoint, Held)>, capnp::Error> {
@@ -142,7 +143,7 @@
     Ok(entries)
 }
 
-/// Returns a length or index of a list as it is written.
+/// Converts the length or index of a list to its type on the wire.
 pub(crate) fn length(count: usize) -> u32 {
     u32::try_from(count).unwrap_or(u32::MAX)
 }
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -1,7 +1,8 @@
-//! The other nodes: tells them what this node uses and takes in what they use.
+//! Exchanges heartbeats with the other nodes: what each node holds at
+//! endpoints, its use of quotas and its quarantine marks.
 //!
-//! Beats are datagrams: each replaces the one before, so that a lost one needs
-//! no repeat and a silent node blocks nobody.
+//! Heartbeats are datagrams. Each replaces the one before, so a lost one is not
+//! sent again and a node that does not respond blocks no other.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -22,36 +23,36 @@
     home,
 };
 
-/// Time between two looks at who is due.
+/// Interval at which due heartbeats and silent nodes are looked for.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Shortest time between two beats to a node of the same data centre, and of
-/// another one, where bytes cost more.
-const PERIOD: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(200));
+/// Shortest time between two heartbeats to a node of the same data centre, and
+/// to one of another data centre, where traffic costs more.
+const MIN_INTERVAL: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(200));
 
-/// Time between two beats of one home to another: each counts what its data
-/// centre has at the endpoints that they share.
-const HOME_PERIOD: Duration = Duration::from_millis(100);
+/// Time between two heartbeats from one home to another: each carries what its
+/// data centre has at the endpoints that they share.
+const HOME_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Beats that a node sends a second to its own data centre, and to the others,
-/// at the most; in a larger fleet each node hears less often.
-const MAX_RATE: u32 = 50;
+/// Most heartbeats a second that a node sends to its own data centre, and to
+/// all others together; in a larger fleet the interval to each node grows.
+const MAX_BEATS_PER_SECOND: u32 = 50;
 
-/// Periods without a beat after which a node counts as silent, and the least
-/// time for it.
-const SILENCE: (u32, Duration) = (6, Duration::from_millis(1200));
+/// Intervals without a heartbeat after which a node counts as silent, and the
+/// shortest time for it.
+const SILENCE_LIMIT: (u32, Duration) = (6, Duration::from_millis(1200));
 
-/// Largest datagram that is read, bytes.
-const MAX_DATAGRAM: usize = 60 * 1024;
+/// Largest datagram that is read.
+const MAX_DATAGRAM_BYTES: usize = 60 * 1024;
 
-/// What the actor is told.
+/// Messages to the actor.
 #[derive(Debug)]
 pub enum Message {
     /// The registered nodes, without this one.
     Registered(Vec<Node>),
-    /// A beat came.
-    Heard(Box<Beat>, SocketAddr),
-    /// Time went on.
+    /// A heartbeat was received.
+    Received(Box<Beat>, SocketAddr),
+    /// Periodic timer.
     Tick,
 }
 
@@ -59,15 +60,17 @@
 #[derive(Clone, Debug)]
 struct Peer {
     address: SocketAddr,
+    /// Whether it is in the data centre of this node.
     local: bool,
     incarnation: u64,
     sequence: u64,
-    heard: Option<time::Instant>,
+    last_received: Option<time::Instant>,
     silent: bool,
+    /// When the next heartbeat is to be sent to it.
     due: time::Instant,
 }
 
-/// The actor.
+/// Actor that keeps track of the other nodes.
 pub struct Peers<D>(std::marker::PhantomData<D>);
 
 impl<D> Default for Peers<D> {
@@ -76,15 +79,15 @@
     }
 }
 
-/// What the actor starts from.
+/// Arguments of the actor.
 pub struct Arguments<D> {
     /// This node.
     pub own: Node,
-    /// Sends the beats.
+    /// Sends the heartbeats.
     pub socket: Arc<UdpSocket>,
-    /// What the beats tell of, and what they change.
+    /// State that heartbeats report, and that received ones update.
     pub chain: Arc<Chain<D>>,
-    /// Takes the nodes of the data centre, the home first.
+    /// Receives the nodes of the data centre, the home first.
     pub homes: watch::Sender<Vec<Node>>,
 }
 
@@ -127,8 +130,8 @@
         state: &mut State<D>,
     ) -> Result<(), ActorProcessingErr> {
         match message {
-            Message::Registered(nodes) => state.register(nodes),
-            Message::Heard(beat, from) => state.hear(&beat, from),
+            Message::Registered(nodes) => state.update_registered(nodes),
+            Message::Received(beat, from) => state.receive(&beat, from),
             Message::Tick => state.tick(),
         }
         Ok(())
@@ -140,15 +143,15 @@
         self.arguments.chain.clock.now()
     }
 
-    fn register(&mut self, nodes: Vec<Node>) {
-        let named = nodes.iter();
-        self.registered = named
+    fn update_registered(&mut self, nodes: Vec<Node>) {
+        let by_name = nodes.iter();
+        self.registered = by_name
             .map(|node| (node.name.clone(), node.clone()))
             .collect();
         let now = self.now();
         for node in nodes {
             let Ok(address) = node.address.parse() else {
-                tracing::warn!(node = %node.name, address = node.address, "unreadable address");
+                tracing::warn!(node = %node.name, address = node.address, "node address can't be parsed");
                 continue;
             };
             let local = node.data_centre == self.arguments.own.data_centre;
@@ -157,22 +160,22 @@
                 local,
                 incarnation: 0,
                 sequence: 0,
-                heard: None,
+                last_received: None,
                 silent: false,
                 due: now,
             });
             peer.address = address;
         }
-        // A node that is heard stays, whatever the registrations say.
+        // A node that sends heartbeats is kept even if its registration ended.
         let registered = &self.registered;
         self.peers.retain(|name, peer| {
-            registered.contains_key(name) || (peer.heard.is_some() && !peer.silent)
+            registered.contains_key(name) || (peer.last_received.is_some() && !peer.silent)
         });
-        self.share();
+        self.update_members();
     }
 
-    /// Hands the table of nodes on.
-    fn share(&mut self) {
+    /// Passes the set of nodes to the quotas, the retry budget and the gate.
+    fn update_members(&mut self) {
         let now = self.now();
         let names: Vec<id::Node> = self.peers.keys().cloned().collect();
         let chain = &self.arguments.chain;
@@ -182,26 +185,26 @@
             gate.join(&names);
             Vec::new()
         });
-        self.elect();
+        self.elect_homes();
     }
 
-    /// Finds the home of each data centre among the nodes that are heard.
-    fn elect(&mut self) {
+    /// Determines the home of each data centre among the live nodes.
+    fn elect_homes(&mut self) {
         let own = &self.arguments.own;
         let mut live = vec![own];
         for (name, node) in &self.registered {
             let peer = self.peers.get(name);
-            if peer.is_some_and(|peer| peer.heard.is_some() && !peer.silent) {
+            if peer.is_some_and(|peer| peer.last_received.is_some() && !peer.silent) {
                 live.push(node);
             }
         }
-        let centres: BTreeSet<&id::DataCentre> =
+        let data_centres: BTreeSet<&id::DataCentre> =
             live.iter().map(|node| &node.data_centre).collect();
         let mut homes = BTreeSet::new();
-        for centre in &centres {
-            let ranked = home::rank(centre, live.iter().copied());
+        for data_centre in &data_centres {
+            let ranked = home::rank(data_centre, live.iter().copied());
             homes.extend(ranked.first().map(|node| node.name.clone()));
-            if **centre == own.data_centre {
+            if **data_centre == own.data_centre {
                 self.arguments.homes.send_if_modified(|known| {
                     let changed = *known != ranked;
                     *known = ranked;
@@ -209,20 +212,21 @@
                 });
             }
         }
-        // A home shares the endpoints with the other homes only.
-        let sharing = if homes.contains(&own.name) {
-            centres.len()
+        // A home shares the endpoints only with the homes of other data centres,
+        // any other node with every node.
+        let sharers = if homes.contains(&own.name) {
+            data_centres.len()
         } else {
             self.peers.len() + 1
         };
         self.arguments.chain.admission.apply(|gate, _| {
-            gate.share(sharing);
+            gate.share(sharers);
             Vec::new()
         });
         self.homes = homes;
     }
 
-    fn hear(&mut self, beat: &Beat, from: SocketAddr) {
+    fn receive(&mut self, beat: &Beat, from: SocketAddr) {
         if beat.node == self.arguments.own.name {
             return;
         }
@@ -234,32 +238,32 @@
             local,
             incarnation: beat.incarnation,
             sequence: 0,
-            heard: None,
+            last_received: None,
             silent: false,
             due: now,
         });
         if peer.incarnation == beat.incarnation && beat.sequence <= peer.sequence {
             return;
         }
-        let returned = peer.heard.is_none() || peer.silent;
+        let returned = peer.last_received.is_none() || peer.silent;
         if returned || peer.incarnation != beat.incarnation {
             tracing::info!(
                 node = %beat.node,
                 address = %from,
                 incarnation = beat.incarnation,
                 generation = beat.generation.0,
-                "node heard"
+                "receiving heartbeats from node"
             );
         }
         peer.address = from;
         peer.incarnation = beat.incarnation;
         peer.sequence = beat.sequence;
-        peer.heard = Some(now);
+        peer.last_received = Some(now);
         peer.silent = false;
         if !known {
-            self.share();
+            self.update_members();
         } else if returned {
-            self.elect();
+            self.elect_homes();
         }
         let chain = &self.arguments.chain;
         lock(&chain.ledger).hear(now, &beat.node, beat.incarnation, beat.usage.clone());
@@ -274,27 +278,27 @@
 
     fn tick(&mut self) {
         let now = self.now();
-        let locals = self.peers.values().filter(|peer| peer.local).count();
-        let periods = (
-            period(PERIOD.0, locals),
-            period(PERIOD.1, self.peers.len() - locals),
+        let local_count = self.peers.values().filter(|peer| peer.local).count();
+        let intervals = (
+            interval(MIN_INTERVAL.0, local_count),
+            interval(MIN_INTERVAL.1, self.peers.len() - local_count),
         );
-        self.watch_silence(now, periods);
+        self.detect_silence(now, intervals);
         let mut due = Vec::new();
         let is_home = self.homes.contains(&self.arguments.own.name);
         for (name, peer) in &mut self.peers {
             if peer.due > now {
                 continue;
             }
-            let period = if is_home && self.homes.contains(name) {
-                HOME_PERIOD
+            let interval = if is_home && self.homes.contains(name) {
+                HOME_INTERVAL
             } else if peer.local {
-                periods.0
+                intervals.0
             } else {
-                periods.1
+                intervals.1
             };
-            // Half of a tick, so that a beat does not slip to the next one.
-            peer.due = now + period - TICK / 2;
+            // Half a tick earlier, so that the heartbeat is not put off by a tick.
+            peer.due = now + interval - TICK / 2;
             due.push(peer.address);
         }
         if due.is_empty() {
@@ -303,14 +307,15 @@
         let beat = match self.beat(now).encode() {
             Ok(beat) => beat,
             Err(error) => {
-                tracing::error!(%error, "a beat can't be written");
+                tracing::error!(%error, "heartbeat can't be encoded");
                 return;
             }
         };
         for address in due {
-            // A full socket loses the beat; the next one replaces it.
+            // If the socket buffer is full, the heartbeat is lost; the next one
+            // replaces it.
             if let Err(error) = self.arguments.socket.try_send_to(&beat, address) {
-                tracing::debug!(%address, %error, "a beat was not sent");
+                tracing::debug!(%address, %error, "heartbeat not sent");
             }
         }
     }
@@ -334,18 +339,19 @@
         }
     }
 
-    /// Forgets what silent nodes held.
-    fn watch_silence(&mut self, now: time::Instant, periods: (Duration, Duration)) {
-        let mut heard = 0;
+    /// Marks nodes as silent that sent no heartbeat for too long, and forgets
+    /// what they held at endpoints.
+    fn detect_silence(&mut self, now: time::Instant, intervals: (Duration, Duration)) {
+        let mut live = 0;
         let mut changed = false;
         for (name, peer) in &mut self.peers {
-            let period = if peer.local { periods.0 } else { periods.1 };
-            let limit = (period * SILENCE.0).max(SILENCE.1);
-            let Some(last) = peer.heard else {
+            let interval = if peer.local { intervals.0 } else { intervals.1 };
+            let limit = (interval * SILENCE_LIMIT.0).max(SILENCE_LIMIT.1);
+            let Some(last) = peer.last_received else {
                 continue;
             };
             if now.since(last) < limit {
-                heard += 1;
+                live += 1;
                 continue;
             }
             if peer.silent {
@@ -356,44 +362,44 @@
             tracing::info!(
                 node = %name,
                 silent_ms = millis(now.since(last)),
-                "node silent"
+                "no heartbeats from node"
             );
             self.arguments.chain.admission.apply(|gate, _| {
                 gate.miss(name);
                 Vec::new()
             });
         }
-        self.arguments.chain.metrics.peers.set(heard);
+        self.arguments.chain.metrics.peers.set(live);
         if changed {
-            self.elect();
+            self.elect_homes();
         }
     }
 }
 
-/// Returns the time between two beats to one of this many nodes.
-fn period(least: Duration, nodes: usize) -> Duration {
+/// Returns the time between two heartbeats to each of `nodes` nodes.
+fn interval(shortest: Duration, nodes: usize) -> Duration {
     let nodes = u32::try_from(nodes).unwrap_or(u32::MAX);
-    least.max(Duration::from_secs(1) * nodes / MAX_RATE)
+    shortest.max(Duration::from_secs(1) * nodes / MAX_BEATS_PER_SECOND)
 }
 
-/// Reads beats for ever.
+/// Receives heartbeats; never returns.
 pub async fn listen(socket: Arc<UdpSocket>, peers: ActorRef<Message>) {
-    let mut buffer = vec![0; MAX_DATAGRAM];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
             Err(error) => {
-                tracing::debug!(%error, "a datagram was not read");
+                tracing::debug!(%error, "datagram could not be read");
                 continue;
             }
         };
         match Beat::decode(&buffer[..length]) {
             Ok(beat) => {
-                if let Err(error) = peers.send_message(Message::Heard(Box::new(beat), from)) {
-                    tracing::error!(%error, "the controller of the nodes stopped");
+                if let Err(error) = peers.send_message(Message::Received(Box::new(beat), from)) {
+                    tracing::error!(%error, "peer actor has stopped");
                 }
             }
-            Err(error) => tracing::debug!(%from, %error, "a datagram is no beat"),
+            Err(error) => tracing::debug!(%from, %error, "datagram is not a heartbeat"),
         }
     }
 }
--- a/gateway/tests/test_beat.rs
+++ b/gateway/tests/test_beat.rs
@@ -1,4 +1,4 @@
-//! Beats on the wire.
+//! Encoding and decoding of heartbeats.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -6,7 +6,7 @@
 use dottereltally_lib::{gate::Held, id, quota::Usage};
 
 #[test]
-fn a_beat_comes_as_it_was_sent() {
+fn a_heartbeat_survives_encoding_and_decoding() {
     let beat = Beat {
         node: id::Node::from("n1"),
         incarnation: 7,
