--- a/gateway/src/metrics.rs
+++ b/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latencies of the request path.
+//! Metrics of the gateway.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
     registry::{Registry, Unit},
 };
 
-/// Upper bounds of the latency buckets, seconds.
-const BUCKETS_SECONDS: [f64; 13] = [
+/// Upper bounds of the latency buckets.
+const LATENCY_BUCKETS_SECONDS: [f64; 13] = [
     0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0, 30.0,
 ];
 
@@ -38,29 +38,29 @@
     failure: &'static str,
 }
 
-/// The counters; clones share them.
+/// The metrics; clones share them.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     answers: Family<AnswerLabels, Counter>,
     refusals: Family<RefusalLabels, Counter>,
     failures: Family<FailureLabels, Counter>,
     first_event: Family<TierLabels, Histogram, fn() -> Histogram>,
-    whole: Family<TierLabels, Histogram, fn() -> Histogram>,
-    /// Streams that went on at another endpoint.
+    answer_duration: Family<TierLabels, Histogram, fn() -> Histogram>,
+    /// Streams that were resumed at another endpoint.
     pub resumed: Counter,
-    /// Streams that broke off.
+    /// Streams that were cut off before their end.
     pub cut: Counter,
-    /// Repeats that the budget did not allow.
+    /// Retries that the budget did not allow.
     pub budget_exhausted: Counter,
-    /// Calls of the key-value service.
+    /// Calls to the key-value service.
     pub store_calls: Counter,
-    /// Calls of it that failed.
+    /// Calls to it that failed.
     pub store_failures: Counter,
     /// Generation of the plan in force.
     pub generation: Gauge,
     /// Endpoints that may get requests.
     pub endpoints: Gauge,
-    /// Other nodes that are heard.
+    /// Other nodes that send heartbeats.
     pub peers: Gauge,
     /// Requests that wait for an endpoint.
     pub waiting: Gauge,
@@ -70,8 +70,8 @@
     pub dropped_lines: Gauge,
 }
 
-fn latency() -> Histogram {
-    Histogram::new(BUCKETS_SECONDS)
+fn latency_histogram() -> Histogram {
+    Histogram::new(LATENCY_BUCKETS_SECONDS)
 }
 
 impl Default for Metrics {
@@ -80,8 +80,8 @@
             answers: Family::default(),
             refusals: Family::default(),
             failures: Family::default(),
-            first_event: Family::new_with_constructor(latency),
-            whole: Family::new_with_constructor(latency),
+            first_event: Family::new_with_constructor(latency_histogram),
+            answer_duration: Family::new_with_constructor(latency_histogram),
             resumed: Counter::default(),
             cut: Counter::default(),
             budget_exhausted: Counter::default(),
@@ -98,7 +98,7 @@
 }
 
 impl Metrics {
-    /// Registers the counters.
+    /// Registers the metrics.
     pub fn register(&self, registry: &mut Registry) {
         registry.register(
             "answers",
@@ -125,7 +125,7 @@
             "answer",
             "Time from a request to the end of its answer",
             Unit::Seconds,
-            self.whole.clone(),
+            self.answer_duration.clone(),
         );
         for (name, help, counter) in [
             ("resumed", "Streams that went on elsewhere", &self.resumed),
@@ -164,28 +164,28 @@
         }
     }
 
-    /// Records an answer that was passed on whole.
-    pub fn answered(&self, tier: id::Tier, status: StatusCode, took: Duration) {
+    /// Records an endpoint's answer that was passed on to its end.
+    pub fn answered(&self, tier: id::Tier, status: StatusCode, elapsed: Duration) {
         let labels = AnswerLabels {
             tier: tier.0,
             status: status.as_u16(),
         };
         self.answers.get_or_create(&labels).inc();
         let labels = TierLabels { tier: tier.0 };
-        self.whole
+        self.answer_duration
             .get_or_create(&labels)
-            .observe(took.as_secs_f64());
+            .observe(elapsed.as_secs_f64());
     }
 
     /// Records the first event of a stream.
-    pub fn first_event(&self, tier: id::Tier, took: Duration) {
+    pub fn first_event(&self, tier: id::Tier, elapsed: Duration) {
         let labels = TierLabels { tier: tier.0 };
         self.first_event
             .get_or_create(&labels)
-            .observe(took.as_secs_f64());
+            .observe(elapsed.as_secs_f64());
     }
 
-    /// Records an answer of the gateway's own.
+    /// Records a refusal, which the gateway answers itself.
     pub fn refused(&self, reason: Reason, status: StatusCode) {
         let labels = RefusalLabels {
             reason: reason.to_string(),
@@ -194,7 +194,7 @@
         self.refusals.get_or_create(&labels).inc();
     }
 
-    /// Records a send without a usable answer.
+    /// Records an attempt without a usable answer.
     pub fn attempt_failed(&self, failure: &'static str) {
         let labels = FailureLabels { failure };
         self.failures.get_or_create(&labels).inc();
--- a/gateway/src/settings.rs
+++ b/gateway/src/settings.rs
@@ -5,36 +5,36 @@
 use dottereltally_lib::{budget, id, quota};
 use serde::Deserialize;
 
-/// A fault in the settings; the text names the field and the remedy.
+/// A faulty setting; the text names the field and how to correct it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{field}: {message}")]
 pub struct Fault {
     /// The field.
     pub field: String,
-    /// What is wrong and what to do.
+    /// What is wrong, and how to correct it.
     pub message: String,
 }
 
-/// Checked settings.
+/// Validated settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The node's name.
     pub node: id::Node,
     /// Its data centre.
     pub data_centre: id::DataCentre,
-    /// Part of a core that the node may use.
+    /// Share of a processor core that the node may use, 1.0 for a whole one.
     pub processor_share: f64,
-    /// Where it listens.
+    /// Addresses that it listens on.
     pub listen: Listen,
     /// Address of the key-value service.
     pub store: String,
-    /// Addresses of nodes to ask while the store is away.
+    /// Nodes to fetch the directory from while the store is unavailable.
     pub seeds: Vec<SocketAddr>,
-    /// Times that are promised.
+    /// Upper bounds of times.
     pub bounds: Bounds,
-    /// Repeated sends.
+    /// Budget of retries.
     pub retries: budget::Terms,
-    /// What is tolerated beyond a quota.
+    /// Excess over a quota that is tolerated.
     pub quotas: quota::Tolerance,
 }
 
@@ -43,24 +43,25 @@
 pub struct Listen {
     /// For callers.
     pub callers: SocketAddr,
-    /// For the balancer's checks.
+    /// For the balancer's health checks.
     pub health: SocketAddr,
-    /// For other nodes, streams.
+    /// For RPC calls of other nodes, TCP.
     pub peers: SocketAddr,
-    /// For other nodes, datagrams.
+    /// For heartbeats of other nodes, UDP.
     pub beats: SocketAddr,
-    /// For metrics.
+    /// For the pages for operators, such as metrics.
     pub operations: SocketAddr,
 }
 
-/// Times that are promised.
+/// Upper bounds of times that the node guarantees or must keep to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// An endpoint gets nothing this long after it said that it leaves.
+    /// Longest time after an endpoint announced that it leaves until it gets no
+    /// more requests.
     pub drain: Duration,
-    /// A plan is in force this long after it was accepted.
+    /// Longest time after a plan was accepted until it is in force.
     pub apply: Duration,
-    /// A process has this long to end.
+    /// Time within which the process has to exit.
     pub grace: Duration,
 }
 
@@ -69,7 +70,7 @@
 struct WireSettings {
     node: String,
     data_centre: String,
-    #[serde(default = "whole_core")]
+    #[serde(default = "default_processor_share")]
     processor_share: f64,
     listen: WireListen,
     store: String,
@@ -80,7 +81,7 @@
     quotas: WireQuotas,
 }
 
-fn whole_core() -> f64 {
+fn default_processor_share() -> f64 {
     1.0
 }
 
@@ -118,14 +119,14 @@
     window_s: f64,
 }
 
-/// Collects every fault of a settings file.
+/// Validates the fields of a settings file and collects every fault.
 #[derive(Default)]
 struct Check {
     faults: Vec<Fault>,
 }
 
 impl Check {
-    fn fault(&mut self, field: &str, message: impl fmt::Display) {
+    fn report(&mut self, field: &str, message: impl fmt::Display) {
         self.faults.push(Fault {
             field: field.to_owned(),
             message: message.to_string(),
@@ -134,9 +135,9 @@
 
     fn address(&mut self, field: &str, text: &str) -> SocketAddr {
         SocketAddr::from_str(text).unwrap_or_else(|_| {
-            self.fault(
+            self.report(
                 field,
-                format_args!("`{text}` is no address; write `IP:PORT`"),
+                format_args!("`{text}` is not an address; write `IP:PORT`"),
             );
             SocketAddr::from(([0, 0, 0, 0], 0))
         })
@@ -144,25 +145,25 @@
 
     fn seconds(&mut self, field: &str, value: f64) -> Duration {
         Duration::try_from_secs_f64(value).unwrap_or_else(|_| {
-            self.fault(
+            self.report(
                 field,
-                format_args!("`{value}` is no time; write a positive number"),
+                format_args!("`{value}` is not a duration; write a positive number"),
             );
             Duration::ZERO
         })
     }
 
-    fn name(&mut self, field: &str, text: &str) {
+    fn non_empty(&mut self, field: &str, text: &str) {
         if text.is_empty() {
-            self.fault(field, "is empty; write a name");
+            self.report(field, "is empty; write a name");
         }
     }
 
-    fn positive(&mut self, field: &str, value: f64) -> f64 {
+    fn non_negative(&mut self, field: &str, value: f64) -> f64 {
         if value.is_finite() && value >= 0.0 {
             return value;
         }
-        self.fault(
+        self.report(
             field,
             format_args!("`{value}` is out of range; write zero or more"),
         );
@@ -170,7 +171,7 @@
     }
 }
 
-/// Reads settings from YAML.
+/// Parses and validates settings in YAML.
 ///
 /// # Errors
 ///
@@ -188,10 +189,10 @@
         }]
     })?;
     let mut check = Check::default();
-    check.name("node", &wire.node);
-    check.name("data_centre", &wire.data_centre);
+    check.non_empty("node", &wire.node);
+    check.non_empty("data_centre", &wire.data_centre);
     check.address("store", &wire.store);
-    let processor_share = check.positive("processor_share", wire.processor_share);
+    let processor_share = check.non_negative("processor_share", wire.processor_share);
     let listen = Listen {
         callers: check.address("listen.callers", &wire.listen.callers),
         health: check.address("listen.health", &wire.listen.health),
@@ -209,13 +210,13 @@
         grace: check.seconds("bounds.grace_s", wire.bounds.grace_s),
     };
     let retries = budget::Terms {
-        ratio: check.positive("retries.ratio", wire.retries.ratio),
-        allowance: check.positive("retries.allowance", wire.retries.allowance),
+        ratio: check.non_negative("retries.ratio", wire.retries.ratio),
+        allowance: check.non_negative("retries.allowance", wire.retries.allowance),
         window: check.seconds("retries.window_s", wire.retries.window_s),
     };
     let quotas = quota::Tolerance {
-        part: check.positive("quotas.tolerated_part", wire.quotas.tolerated_part),
-        excess: check.positive("quotas.tolerated_tokens", wire.quotas.tolerated_tokens),
+        part: check.non_negative("quotas.tolerated_part", wire.quotas.tolerated_part),
+        excess: check.non_negative("quotas.tolerated_tokens", wire.quotas.tolerated_tokens),
         window: check.seconds("quotas.window_s", wire.quotas.window_s),
     };
     if !check.faults.is_empty() {
--- a/gateway/tests/test_settings.rs
+++ b/gateway/tests/test_settings.rs
@@ -1,8 +1,8 @@
-//! Settings: all faults at once, each with its remedy.
+//! Parsing of settings: all faults are reported at once, each with a correction.
 
 use dottereltally_gateway::settings::parse;
 
-const USUAL: &str = r#"
+const VALID: &str = r#"
 node: "n"
 data_centre: "dc"
 listen:
@@ -28,15 +28,15 @@
 "#;
 
 #[test]
-fn usual_settings_are_read() {
-    let settings = parse(USUAL).unwrap();
+fn valid_settings_are_parsed() {
+    let settings = parse(VALID).unwrap();
     assert_eq!(settings.seeds.len(), 1);
     assert_eq!(settings.bounds.grace.as_secs(), 8);
 }
 
 #[test]
-fn every_fault_is_told_at_once() {
-    let wrong = USUAL
+fn all_faults_are_reported_at_once() {
+    let wrong = VALID
         .replace("127.0.0.1:1\"", "here\"")
         .replace("allowance: 56", "allowance: -1")
         .replace("node: \"n\"", "node: \"\"");
@@ -48,6 +48,6 @@
 
 #[test]
 fn an_unknown_field_is_a_fault() {
-    let faults = parse(&format!("{USUAL}\nspeed: 3\n")).unwrap_err();
+    let faults = parse(&format!("{VALID}\nspeed: 3\n")).unwrap_err();
     assert!(faults[0].to_string().contains("speed"), "{}", faults[0]);
 }
