--- a/gateway/src/controller.rs
+++ b/gateway/src/controller.rs
@@ -1,8 +1,10 @@
-//! Keeps the directory in force: the plan, the endpoints, the other nodes.
+//! Maintains the directory in force: the plan, the endpoints and the other
+//! nodes.
 //!
-//! A task follows the source; the actor owns what is believed and changes it.
+//! A task follows the source and sends what it reads to an actor, which owns
+//! the state and publishes its changes.
 
-mod belief;
+mod endpoints;
 pub mod follow;
 mod registration;
 
@@ -13,77 +15,77 @@
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use tokio::sync::watch;
 
-pub use self::{belief::Belief, follow::Pace, registration::Registration};
+pub use self::{endpoints::Endpoints, follow::PollInterval, registration::Registration};
 use crate::{
     admission,
     directory::{Change, Changes, Node, Snapshot},
     metrics::Metrics,
 };
 
-/// Time between two looks at endpoints that were kept for a while.
+/// Interval at which endpoints kept through an outage are checked for expiry.
 const TICK: Duration = Duration::from_millis(200);
 
-/// What the actor is told.
+/// Messages to the controller.
 #[derive(Debug)]
 pub enum Message {
-    /// Everything was read.
+    /// The whole directory was read from the source.
     Snapshot(Box<Snapshot>),
-    /// Something changed.
+    /// The source reported changes.
     Changes(Changes),
-    /// The source can't be read.
-    Lost(String),
-    /// Another node told what it knows, as the source is away.
-    Told(Box<Snapshot>),
-    /// Time went on.
+    /// The source can't be read, with the cause.
+    SourceFailed(String),
+    /// Another node sent its directory while the source is unavailable.
+    PeerSnapshot(Box<Snapshot>),
+    /// Periodic timer.
     Tick,
 }
 
-/// What the actor's beliefs become.
+/// Where the controller publishes its state.
 #[derive(Clone)]
-pub struct Outlet {
+pub struct Outputs {
     /// The clock of the node.
     pub clock: Clock,
-    /// Takes the plan.
+    /// Receives the plan.
     pub plan: watch::Sender<Option<Arc<Plan>>>,
-    /// Takes the endpoints.
+    /// Receives the endpoints.
     pub admission: admission::Handle,
-    /// Takes the other nodes.
+    /// Receives the other nodes.
     pub nodes: watch::Sender<Vec<Node>>,
-    /// Whether endpoints are known.
-    pub listed: watch::Sender<bool>,
-    /// Takes what other nodes may ask for.
+    /// Becomes true once the endpoints were read.
+    pub endpoints_known: watch::Sender<bool>,
+    /// Receives the snapshot that is served to other nodes.
     pub snapshot: watch::Sender<Arc<Snapshot>>,
-    /// The counters.
+    /// The metrics of the node.
     pub metrics: Metrics,
-    /// This node.
+    /// Name of this node.
     pub own: id::Node,
 }
 
-/// The actor.
+/// Actor that owns the directory.
 pub struct Controller;
 
-/// Its state.
+/// State of the actor.
 pub struct State {
-    belief: Belief,
+    endpoints: Endpoints,
     nodes: BTreeMap<id::Node, Node>,
-    outlet: Outlet,
+    outputs: Outputs,
 }
 
 impl Actor for Controller {
     type Msg = Message;
     type State = State;
-    type Arguments = Outlet;
+    type Arguments = Outputs;
 
     async fn pre_start(
         &self,
         myself: ActorRef<Message>,
-        outlet: Outlet,
+        outputs: Outputs,
     ) -> Result<State, ActorProcessingErr> {
         myself.send_interval(TICK, || Message::Tick);
         Ok(State {
-            belief: Belief::default(),
+            endpoints: Endpoints::default(),
             nodes: BTreeMap::new(),
-            outlet,
+            outputs,
         })
     }
 
@@ -93,148 +95,151 @@
         message: Message,
         state: &mut State,
     ) -> Result<(), ActorProcessingErr> {
-        state.take(message);
+        state.apply(message);
         Ok(())
     }
 }
 
 impl State {
-    fn take(&mut self, message: Message) {
-        let now = self.outlet.clock.now();
+    fn apply(&mut self, message: Message) {
+        let now = self.outputs.clock.now();
         match message {
             Message::Snapshot(snapshot) => {
-                if let Some(away) = self.belief.regain(now) {
+                if let Some(outage) = self.endpoints.end_outage(now) {
                     tracing::info!(
-                        away_ms = crate::chain::millis(away),
+                        away_ms = crate::chain::millis(outage),
                         revision = snapshot.revision.0,
                         endpoints = snapshot.endpoints.len(),
-                        "key-value service regained"
+                        "key-value service available again"
                     );
                 }
-                self.outlet.listed.send_replace(true);
-                self.replace(*snapshot, true);
+                self.outputs.endpoints_known.send_replace(true);
+                self.apply_snapshot(*snapshot, true);
             }
-            Message::Told(snapshot) => {
-                if self.belief.is_told() {
-                    // Only a newer plan is of use.
+            Message::PeerSnapshot(snapshot) => {
+                if self.endpoints.is_initialized() {
+                    // The known endpoints are kept; only a newer plan is used.
                     if let Some(plan) = snapshot.plan {
-                        self.adopt(plan);
+                        self.adopt_plan(plan);
                     }
                     return;
                 }
                 tracing::info!(
                     generation = snapshot.plan.as_ref().map(|plan| plan.generation.0),
                     endpoints = snapshot.endpoints.len(),
-                    "directory taken from another node"
+                    "directory received from another node"
                 );
-                self.outlet.listed.send_replace(true);
-                self.replace(*snapshot, false);
+                self.outputs.endpoints_known.send_replace(true);
+                self.apply_snapshot(*snapshot, false);
             }
             Message::Changes(changes) => {
-                if let Some(away) = self.belief.regain(now) {
+                if let Some(outage) = self.endpoints.end_outage(now) {
                     tracing::info!(
-                        away_ms = crate::chain::millis(away),
+                        away_ms = crate::chain::millis(outage),
                         revision = changes.revision.0,
-                        "key-value service regained"
+                        "key-value service available again"
                     );
                 }
                 for change in changes.changes {
-                    self.change(change);
+                    self.apply_change(change);
                 }
             }
-            Message::Lost(cause) => {
-                if self.belief.lose(now) {
-                    tracing::warn!(cause, "key-value service lost");
+            Message::SourceFailed(cause) => {
+                if self.endpoints.begin_outage(now) {
+                    tracing::warn!(cause, "key-value service unavailable");
                 }
             }
             Message::Tick => {}
         }
-        self.publish();
+        self.publish_endpoints();
     }
 
-    fn replace(&mut self, snapshot: Snapshot, whole: bool) {
+    /// Applies a snapshot. Only one that comes from the source is
+    /// `authoritative` and removes nodes that it does not contain.
+    fn apply_snapshot(&mut self, snapshot: Snapshot, authoritative: bool) {
         if let Some(plan) = snapshot.plan {
-            self.adopt(plan);
+            self.adopt_plan(plan);
         }
-        let now = self.outlet.clock.now();
-        self.belief.replace(now, snapshot.endpoints);
-        if !whole {
+        let now = self.outputs.clock.now();
+        self.endpoints.replace(now, snapshot.endpoints);
+        if !authoritative {
             for node in snapshot.nodes {
                 self.nodes.entry(node.name.clone()).or_insert(node);
             }
-            return self.tell_nodes();
+            return self.publish_nodes();
         }
         let nodes = snapshot.nodes.into_iter();
         self.nodes = nodes.map(|node| (node.name.clone(), node)).collect();
-        self.tell_nodes();
+        self.publish_nodes();
     }
 
-    fn change(&mut self, change: Change) {
-        let now = self.outlet.clock.now();
+    fn apply_change(&mut self, change: Change) {
+        let now = self.outputs.clock.now();
         match change {
-            Change::Plan(plan) => self.adopt(*plan),
-            Change::Endpoint(name, entry) => self.belief.hear(now, name, entry),
-            Change::Removed(name) => self.belief.remove(now, &name),
+            Change::Plan(plan) => self.adopt_plan(*plan),
+            Change::Endpoint(name, entry) => self.endpoints.update(now, name, entry),
+            Change::EndpointRemoved(name) => self.endpoints.remove(now, &name),
             Change::Node(node) => {
                 self.nodes.insert(node.name.clone(), node);
-                self.tell_nodes();
+                self.publish_nodes();
             }
-            Change::Left(name) => {
+            Change::NodeRemoved(name) => {
                 if self.nodes.remove(&name).is_some() {
                     tracing::info!(node = %name, "registration of a node ended");
-                    self.tell_nodes();
+                    self.publish_nodes();
                 }
             }
         }
     }
 
-    /// Puts a plan in force unless a newer one is.
-    fn adopt(&mut self, plan: Plan) {
-        let known = self
-            .outlet
+    /// Puts a plan in force unless its generation is already reached.
+    fn adopt_plan(&mut self, plan: Plan) {
+        let current = self
+            .outputs
             .plan
             .borrow()
             .as_ref()
             .map(|plan| plan.generation);
-        if known.is_some_and(|known| known >= plan.generation) {
+        if current.is_some_and(|current| current >= plan.generation) {
             return;
         }
         tracing::info!(
             generation = plan.generation.0,
-            previous = known.map(|known| known.0),
+            previous = current.map(|current| current.0),
             routes = plan.routes.len(),
             services = plan.services.len(),
             "plan in force"
         );
-        let number = i64::try_from(plan.generation.0).unwrap_or(i64::MAX);
-        self.outlet.metrics.generation.set(number);
-        self.outlet.plan.send_replace(Some(Arc::new(plan)));
-        self.belief.touch();
+        let generation = i64::try_from(plan.generation.0).unwrap_or(i64::MAX);
+        self.outputs.metrics.generation.set(generation);
+        self.outputs.plan.send_replace(Some(Arc::new(plan)));
+        self.endpoints.mark_changed();
     }
 
-    fn tell_nodes(&self) {
+    fn publish_nodes(&self) {
         let others = self
             .nodes
             .values()
-            .filter(|node| node.name != self.outlet.own);
-        self.outlet.nodes.send_replace(others.cloned().collect());
+            .filter(|node| node.name != self.outputs.own);
+        self.outputs.nodes.send_replace(others.cloned().collect());
     }
 
-    /// Hands changed endpoints on.
-    fn publish(&mut self) {
-        let now = self.outlet.clock.now();
-        let Some(records) = self.belief.changed(now) else {
+    /// Publishes the endpoints if they changed, and the snapshot for other
+    /// nodes with them.
+    fn publish_endpoints(&mut self) {
+        let now = self.outputs.clock.now();
+        let Some(records) = self.endpoints.take_changed(now) else {
             return;
         };
         let count = i64::try_from(records.len()).unwrap_or(i64::MAX);
-        self.outlet.metrics.endpoints.set(count);
-        self.outlet
+        self.outputs.metrics.endpoints.set(count);
+        self.outputs
             .admission
             .apply(|gate, now| gate.list(now, records));
-        let plan = self.outlet.plan.borrow().as_deref().cloned();
-        self.outlet.snapshot.send_replace(Arc::new(Snapshot {
+        let plan = self.outputs.plan.borrow().as_deref().cloned();
+        self.outputs.snapshot.send_replace(Arc::new(Snapshot {
             plan,
-            endpoints: self.belief.entries(),
+            endpoints: self.endpoints.entries(),
             nodes: self.nodes.values().cloned().collect(),
             ..Snapshot::default()
         }));
--- /dev/null
+++ b/gateway/src/controller/endpoints.rs
@@ -0,0 +1,190 @@
+//! The node's view of the endpoints, which outlives outages of the source.
+//!
+//! Descriptions expire in the source unless their endpoints renew them, which
+//! endpoints can't do while the source is unavailable. A live endpoint whose
+//! description disappears during an outage, or shortly after it, is therefore
+//! kept until it had time to write its description again.
+
+use std::{collections::BTreeMap, mem, time::Duration};
+
+use dottereltally_lib::{
+    endpoint::{Record, Standing},
+    id, time,
+};
+
+use crate::directory::Entry;
+
+/// Time after an outage of the source within which endpoints are expected to
+/// write expired descriptions again.
+const RENEWAL_GRACE: Duration = Duration::from_secs(2);
+
+/// One endpoint of the view.
+#[derive(Clone, Debug)]
+struct Tracked {
+    entry: Entry,
+    /// Whether its description disappeared during or shortly after an outage.
+    missing: bool,
+}
+
+/// The endpoints, as far as the source can be trusted.
+#[derive(Clone, Debug, Default)]
+pub struct Endpoints {
+    tracked: BTreeMap<id::Endpoint, Tracked>,
+    initialized: bool,
+    /// Start of the current outage of the source.
+    outage_start: Option<time::Instant>,
+    /// End of the last outage of the source.
+    outage_end: Option<time::Instant>,
+    changed: bool,
+}
+
+impl Endpoints {
+    /// Returns whether a snapshot was applied, from the source or another node.
+    #[must_use]
+    pub fn is_initialized(&self) -> bool {
+        self.initialized
+    }
+
+    /// Records that the source can't be read; returns true if an outage starts.
+    pub fn begin_outage(&mut self, now: time::Instant) -> bool {
+        let first = self.outage_start.is_none();
+        self.outage_start.get_or_insert(now);
+        first
+    }
+
+    /// Records that the source was read; returns the length of the outage that
+    /// ends, if there was one.
+    pub fn end_outage(&mut self, now: time::Instant) -> Option<Duration> {
+        let start = self.outage_start.take()?;
+        self.outage_end = Some(now);
+        Some(now.since(start))
+    }
+
+    /// Applies a complete set of descriptions.
+    pub fn replace(&mut self, now: time::Instant, entries: BTreeMap<id::Endpoint, Entry>) {
+        self.initialized = true;
+        let known: Vec<id::Endpoint> = self.tracked.keys().cloned().collect();
+        for name in known {
+            if !entries.contains_key(&name) {
+                self.remove(now, &name);
+            }
+        }
+        for (name, entry) in entries {
+            self.update(now, name, Some(entry));
+        }
+    }
+
+    /// Applies one description; `None` stands for an unusable one.
+    pub fn update(&mut self, now: time::Instant, name: id::Endpoint, entry: Option<Entry>) {
+        let Some(entry) = entry else {
+            tracing::warn!(endpoint = %name, "endpoint description is unusable");
+            return self.remove(now, &name);
+        };
+        let known = self.tracked.get(&name);
+        if known.is_some_and(|known| is_older(&entry, &known.entry)) {
+            tracing::info!(
+                endpoint = %name,
+                sequence = entry.sequence,
+                "outdated endpoint description ignored"
+            );
+            return;
+        }
+        if known.is_none_or(|known| known.entry.record != entry.record || known.missing) {
+            tracing::info!(
+                endpoint = %name,
+                service = %entry.record.service,
+                address = entry.record.address,
+                standing = %entry.record.standing,
+                born = entry.born,
+                sequence = entry.sequence,
+                "endpoint added or changed"
+            );
+            self.changed = true;
+        }
+        let missing = false;
+        self.tracked.insert(name, Tracked { entry, missing });
+    }
+
+    /// Applies the removal of a description.
+    pub fn remove(&mut self, now: time::Instant, name: &id::Endpoint) {
+        let uncertain = self.removals_uncertain(now);
+        let Some(known) = self.tracked.get_mut(name) else {
+            return;
+        };
+        // An endpoint that announced that it leaves won't renew its description.
+        if uncertain && known.entry.record.standing == Standing::Live {
+            if !mem::replace(&mut known.missing, true) {
+                tracing::info!(
+                    endpoint = %name,
+                    "endpoint kept: its description may have expired during an outage"
+                );
+            }
+            return;
+        }
+        self.tracked.remove(name);
+        self.changed = true;
+        tracing::info!(endpoint = %name, "endpoint removed");
+    }
+
+    /// Returns the records if they changed since the last call.
+    pub fn take_changed(&mut self, now: time::Instant) -> Option<Vec<Record>> {
+        if !self.removals_uncertain(now) {
+            self.remove_missing();
+        }
+        if !mem::take(&mut self.changed) {
+            return None;
+        }
+        let known = self.tracked.values();
+        Some(known.map(|known| known.entry.record.clone()).collect())
+    }
+
+    /// Makes the next [`Self::take_changed`] return the records even if they
+    /// did not change.
+    pub fn mark_changed(&mut self) {
+        self.changed = true;
+    }
+
+    /// Returns the descriptions.
+    #[must_use]
+    pub fn entries(&self) -> BTreeMap<id::Endpoint, Entry> {
+        let known = self.tracked.iter();
+        known
+            .map(|(name, known)| (name.clone(), known.entry.clone()))
+            .collect()
+    }
+
+    fn remove_missing(&mut self) {
+        let before = self.tracked.len();
+        self.tracked.retain(|name, known| {
+            if known.missing {
+                tracing::info!(
+                    endpoint = %name,
+                    "endpoint removed: its description was not renewed after an outage"
+                );
+            }
+            !known.missing
+        });
+        self.changed |= self.tracked.len() != before;
+    }
+
+    /// Returns whether descriptions may be missing only because of an outage
+    /// of the source.
+    fn removals_uncertain(&self, now: time::Instant) -> bool {
+        if self.outage_start.is_some() {
+            return true;
+        }
+        let outage_end = self.outage_end;
+        outage_end.is_some_and(|outage_end| now.since(outage_end) < RENEWAL_GRACE)
+    }
+}
+
+/// Returns whether a description was written before the known one: by an
+/// earlier process of the endpoint, or earlier by the same process.
+fn is_older(entry: &Entry, known: &Entry) -> bool {
+    match (entry.born, known.born) {
+        (Some(entry_born), Some(known_born)) if entry_born != known_born => entry_born < known_born,
+        (None, Some(_)) => true,
+        (Some(_), None) => false,
+        _ => entry.sequence < known.sequence && entry.record.address == known.record.address,
+    }
+}
--- a/gateway/src/controller/follow.rs
+++ b/gateway/src/controller/follow.rs
@@ -1,4 +1,5 @@
-//! Follows the source and tells the controller.
+//! Follows the source by long polling and sends what it reads to the
+//! controller.
 
 use std::time::Duration;
 
@@ -9,111 +10,117 @@
 
 use crate::{controller::Message, directory::Source, metrics::Metrics};
 
-/// Time that a change may take to show in a call besides the pace: a store
+/// Delay until a change appears in a call, beyond the poll interval: a store
 /// that drops its history keeps calls waiting for about a second.
-const PACE_SLACK: Duration = Duration::from_millis(1200);
+const CHANGE_DELAY: Duration = Duration::from_millis(1200);
 
-/// Part of the rest of the promised time after which changes are read again.
-const PACE_PART: f64 = 0.85;
+/// Fraction of the time left within the bound that the poll interval uses.
+const BOUND_FRACTION: f64 = 0.85;
 
-/// Shortest time between two calls.
-const MIN_PACE: Duration = Duration::from_millis(200);
+/// Shortest poll interval.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Longest time that a call waits for a change.
 const MAX_WAIT: Duration = Duration::from_secs(1);
 
-/// Pause after a failed call, at first and at most.
-const PAUSE: (Duration, Duration) = (Duration::from_millis(150), Duration::from_millis(800));
+/// Initial and longest pause after a failed call.
+const BACKOFF: (Duration, Duration) = (Duration::from_millis(150), Duration::from_millis(800));
 
-/// How often changes are read.
+/// Shortest time between the starts of two calls for changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pace(pub Duration);
+pub struct PollInterval(pub Duration);
 
-impl Pace {
-    /// Returns a pace that keeps a promise with time to spare.
+impl PollInterval {
+    /// Returns an interval at which a change is seen within `bound`, with a
+    /// margin.
     #[must_use]
-    pub fn within(promise: Duration) -> Self {
-        let left = promise.saturating_sub(PACE_SLACK);
-        Self(left.mul_f64(PACE_PART).max(MIN_PACE))
+    pub fn within(bound: Duration) -> Self {
+        let left = bound.saturating_sub(CHANGE_DELAY);
+        Self(left.mul_f64(BOUND_FRACTION).max(MIN_POLL_INTERVAL))
     }
 }
 
-/// Follows the source for ever.
+/// Follows the source; never returns.
 pub async fn run<S: Source>(
     source: S,
-    pace: Pace,
+    poll_interval: PollInterval,
     controller: ActorRef<Message>,
     metrics: Metrics,
 ) {
     let follower = Follower {
         source,
-        pace,
+        poll_interval,
         controller,
         metrics,
     };
     loop {
-        let revision = follower.read().await;
-        follower.follow(revision).await;
+        let revision = follower.read_snapshot().await;
+        follower.follow_changes(revision).await;
     }
 }
 
 struct Follower<S> {
     source: S,
-    pace: Pace,
+    poll_interval: PollInterval,
     controller: ActorRef<Message>,
     metrics: Metrics,
 }
 
 impl<S: Source> Follower<S> {
-    /// Reads everything, as often as it takes.
-    async fn read(&self) -> Revision {
-        let mut pause = PAUSE.0;
+    /// Reads the whole directory, retrying until it succeeds.
+    async fn read_snapshot(&self) -> Revision {
+        let mut pause = BACKOFF.0;
         loop {
             self.metrics.store_calls.inc();
             match self.source.snapshot().await {
                 Ok(snapshot) => {
                     let revision = snapshot.revision;
-                    self.tell(Message::Snapshot(Box::new(snapshot)));
+                    self.send(Message::Snapshot(Box::new(snapshot)));
                     return revision;
                 }
-                Err(error) => self.fail(&error, &mut pause).await,
+                Err(error) => self.back_off(&error, &mut pause).await,
             }
         }
     }
 
-    /// Reads changes until they are not kept any more.
-    async fn follow(&self, mut revision: Revision) {
-        let mut pause = PAUSE.0;
+    /// Reads changes until the source no longer keeps those after `revision`.
+    async fn follow_changes(&self, mut revision: Revision) {
+        let mut pause = BACKOFF.0;
         loop {
-            let next = Instant::now() + self.pace.0;
+            let next = Instant::now() + self.poll_interval.0;
             self.metrics.store_calls.inc();
             match self.source.changes(revision, MAX_WAIT).await {
                 Ok(changes) => {
                     revision = changes.revision;
-                    pause = PAUSE.0;
-                    self.tell(Message::Changes(changes));
+                    pause = BACKOFF.0;
+                    self.send(Message::Changes(changes));
                     sleep_until(next).await;
                 }
                 Err(Error::Refused(cause)) => {
-                    tracing::info!(revision = revision.0, cause, "changes are read anew");
+                    tracing::info!(
+                        revision = revision.0,
+                        cause,
+                        "changes are no longer available; reading the whole directory"
+                    );
                     return;
                 }
-                Err(error) => self.fail(&error, &mut pause).await,
+                Err(error) => self.back_off(&error, &mut pause).await,
             }
         }
     }
 
-    async fn fail(&self, error: &Error, pause: &mut Duration) {
+    /// Reports a failed call, then waits with jitter and exponential backoff.
+    async fn back_off(&self, error: &Error, pause: &mut Duration) {
         self.metrics.store_failures.inc();
-        self.tell(Message::Lost(error.to_string()));
-        let spread = rand::rng().random_range(0.7..1.3);
-        sleep(pause.mul_f64(spread)).await;
-        *pause = (*pause * 2).min(PAUSE.1);
+        self.send(Message::SourceFailed(error.to_string()));
+        let jitter = rand::rng().random_range(0.7..1.3);
+        sleep(pause.mul_f64(jitter)).await;
+        *pause = (*pause * 2).min(BACKOFF.1);
     }
 
-    fn tell(&self, message: Message) {
+    fn send(&self, message: Message) {
         if let Err(error) = self.controller.send_message(message) {
-            tracing::error!(%error, "the controller of the directory stopped");
+            tracing::error!(%error, "directory controller has stopped");
         }
     }
 }
--- a/gateway/src/controller/registration.rs
+++ b/gateway/src/controller/registration.rs
@@ -1,4 +1,4 @@
-//! Keeps this node registered, so that others find it.
+//! Keeps this node registered, so that other nodes find it.
 
 use std::{
     sync::{
@@ -18,18 +18,18 @@
     metrics::Metrics,
 };
 
-/// Time for which a registration holds without being renewed.
-const TTL: Duration = Duration::from_secs(12);
+/// Time after which a registration expires unless it is renewed.
+const LEASE_TTL: Duration = Duration::from_secs(12);
 
-/// Time between two renewals; three may fail.
-const PERIOD: Duration = Duration::from_secs(3);
+/// Time between two renewals; three in a row may fail.
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Registration of one node.
 pub struct Registration<S> {
     source: S,
     node: Node,
     lease: Mutex<Option<Lease>>,
-    left: AtomicBool,
+    ended: AtomicBool,
     metrics: Metrics,
 }
 
@@ -41,29 +41,29 @@
             source,
             node,
             lease: Mutex::new(None),
-            left: AtomicBool::new(false),
+            ended: AtomicBool::new(false),
             metrics,
         }
     }
 
-    /// Keeps the node registered until it leaves.
+    /// Keeps the node registered until [`Self::deregister`] is called.
     pub async fn run(&self) {
-        while !self.left.load(Ordering::Acquire) {
+        while !self.ended.load(Ordering::Acquire) {
             self.metrics.store_calls.inc();
-            let held = *lock(&self.lease);
-            let result = match held {
-                None => self.source.register(&self.node, TTL).await.map(Some),
+            let current = *lock(&self.lease);
+            let result = match current {
+                None => self.source.register(&self.node, LEASE_TTL).await.map(Some),
                 Some(lease) => self.source.renew(lease).await.map(|()| Some(lease)),
             };
             match result {
                 Ok(lease) => {
-                    if held.is_none() {
+                    if current.is_none() {
                         tracing::info!(node = %self.node.name, "node registered");
                     }
                     *lock(&self.lease) = lease;
                 }
                 Err(Error::UnknownLease(lease)) => {
-                    tracing::info!(%lease, "registration lapsed");
+                    tracing::info!(%lease, "registration expired");
                     *lock(&self.lease) = None;
                     continue;
                 }
@@ -72,21 +72,21 @@
                     tracing::info!(%error, "registration could not be renewed");
                 }
             }
-            let spread = rand::rng().random_range(0.8..1.2);
-            sleep(PERIOD.mul_f64(spread)).await;
+            let jitter = rand::rng().random_range(0.8..1.2);
+            sleep(RENEWAL_INTERVAL.mul_f64(jitter)).await;
         }
     }
 
     /// Ends the registration.
-    pub async fn leave(&self) {
-        self.left.store(true, Ordering::Release);
-        let held = lock(&self.lease).take();
-        let Some(lease) = held else {
+    pub async fn deregister(&self) {
+        self.ended.store(true, Ordering::Release);
+        let current = lock(&self.lease).take();
+        let Some(lease) = current else {
             return;
         };
         self.metrics.store_calls.inc();
-        if let Err(error) = self.source.leave(lease).await {
-            tracing::info!(%error, "registration ends by itself: it could not be ended");
+        if let Err(error) = self.source.deregister(lease).await {
+            tracing::info!(%error, "registration could not be ended and will expire");
         }
     }
 }
--- a/gateway/src/directory.rs
+++ b/gateway/src/directory.rs
@@ -1,4 +1,5 @@
-//! What the platform tells: the plan, the endpoints and the other nodes.
+//! The directory that the platform keeps: the plan, the endpoints and the
+//! registered nodes.
 
 use std::{collections::BTreeMap, future::Future, time::Duration};
 
@@ -6,58 +7,61 @@
 use dottereltally_store::kv::{Error, Lease, Revision};
 use serde::{Deserialize, Serialize};
 
-/// An endpoint as it last described itself.
+/// The most recent description that an endpoint wrote of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// What it says.
+    /// Its content.
     pub record: endpoint::Record,
-    /// Milliseconds of its start since the Unix epoch, if it tells them.
+    /// Start time of the endpoint's process in milliseconds since the Unix
+    /// epoch, if it reports it.
     pub born: Option<u64>,
-    /// Number of the message since its start.
+    /// Number of the description, counted from the process's start.
     pub sequence: u64,
 }
 
-/// Another node as it registered itself.
+/// A node as it registered itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Node {
     /// Its name.
     pub name: id::Node,
-    /// Where it hears other nodes, `ip:port`.
+    /// Address that receives heartbeats, `ip:port`.
     pub address: String,
     /// Its data centre.
     pub data_centre: id::DataCentre,
-    /// Where it takes calls of other nodes, `ip:port`; empty if it takes none.
+    /// Address that takes RPC calls of other nodes, `ip:port`; empty if the
+    /// node takes none.
     #[serde(default)]
     pub calls: String,
-    /// Part of a core that it may use, in thousandths.
+    /// Share of a processor core that the node may use, in thousandths.
     #[serde(default)]
     pub share: u32,
 }
 
-/// One thing that changed.
+/// A change of the directory.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// A plan was accepted.
     Plan(Box<Plan>),
-    /// An endpoint described itself; none if nothing usable can be read.
+    /// An endpoint wrote its description; `None` if it is unusable.
     Endpoint(id::Endpoint, Option<Entry>),
     /// An endpoint's description was removed.
-    Removed(id::Endpoint),
+    EndpointRemoved(id::Endpoint),
     /// A node registered itself.
     Node(Node),
     /// A node's registration ended.
-    Left(id::Node),
+    NodeRemoved(id::Node),
 }
 
-/// Everything at one revision.
+/// The whole directory at one revision.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The revision from which changes follow; of no use to another node.
+    /// The revision after which to ask for changes; meaningless to another
+    /// node, so it is not sent.
     #[serde(skip)]
     pub revision: Revision,
     /// The plan, if there is one.
     pub plan: Option<Plan>,
-    /// The endpoints that can be read.
+    /// The endpoints with a usable description.
     pub endpoints: BTreeMap<id::Endpoint, Entry>,
     /// The registered nodes.
     pub nodes: Vec<Node>,
@@ -66,15 +70,15 @@
 /// Changes up to a revision.
 #[derive(Clone, Debug, Default)]
 pub struct Changes {
-    /// The revision that they lead to.
+    /// The revision after the last change.
     pub revision: Revision,
     /// The changes in order.
     pub changes: Vec<Change>,
 }
 
-/// Where the directory is kept.
+/// The service that stores the directory.
 pub trait Source: Clone + Send + Sync + 'static {
-    /// Reads everything.
+    /// Reads the whole directory.
     ///
     /// # Errors
     ///
@@ -85,14 +89,14 @@
     ///
     /// # Errors
     ///
-    /// Fails with [`Error::Refused`] if the changes are not kept any more.
+    /// Fails with [`Error::Refused`] if the changes are no longer kept.
     fn changes(
         &self,
         after: Revision,
         wait: Duration,
     ) -> impl Future<Output = Result<Changes, Error>> + Send;
 
-    /// Registers this node until its lease ends.
+    /// Registers this node under a new lease.
     ///
     /// # Errors
     ///
@@ -103,11 +107,11 @@
         ttl: Duration,
     ) -> impl Future<Output = Result<Lease, Error>> + Send;
 
-    /// Renews a registration.
+    /// Renews the lease of a registration.
     ///
     /// # Errors
     ///
-    /// Fails with [`Error::UnknownLease`] if it has lapsed.
+    /// Fails with [`Error::UnknownLease`] if it has expired.
     fn renew(&self, lease: Lease) -> impl Future<Output = Result<(), Error>> + Send;
 
     /// Ends a registration.
@@ -115,5 +119,5 @@
     /// # Errors
     ///
     /// Fails if the service can't be reached or does not answer in time.
-    fn leave(&self, lease: Lease) -> impl Future<Output = Result<(), Error>> + Send;
+    fn deregister(&self, lease: Lease) -> impl Future<Output = Result<(), Error>> + Send;
 }
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -1,5 +1,5 @@
-//! What nodes ask of each other over Cap'n Proto RPC: the whole directory while
-//! the key-value service is away, and decisions of the home node.
+//! Calls between nodes over Cap'n Proto RPC: for the whole directory while the
+//! key-value service is unavailable, and for decisions of the home node.
 
 use std::{io, net::SocketAddr, rc::Rc, sync::Arc, time::Duration};
 
@@ -20,40 +20,40 @@
     time::{sleep, timeout},
 };
 
-use crate::{admission, beat::read_held, directory::Snapshot, home::Desk, node::UPSTREAM};
+use crate::{admission, beat::read_held, directory::Snapshot, home::Desk, node::UPSTREAM_LIMITS};
 
-/// Time for a node to answer.
-const TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause after a failure to accept a connection.
+/// Time for another node to return its directory.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
+/// Pause after a connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// Why another node can't be asked.
+/// Why a call to another node failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
     /// The connection failed.
-    #[error("no connection: {0}; check the link between the nodes")]
+    #[error("connection failed: {0}; check the link between the nodes")]
     Connection(#[from] io::Error),
     /// The call failed.
-    #[error("no answer: {0}; check the other node's log")]
+    #[error("call failed: {0}; check the other node's log")]
     Call(#[from] Error),
-    /// The answer can't be read.
+    /// The answer can't be decoded.
     #[error("unreadable answer: {0}; run the same version on all nodes")]
     Unreadable(#[from] serde_json::Error),
-    /// The time was over.
+    /// The node did not answer in time.
     #[error("no answer in time; check the link between the nodes")]
     Silent,
 }
 
-/// What a node offers the others.
+/// Serves the calls of other nodes.
 #[derive(Clone)]
 pub struct Offer {
-    /// The directory that it knows.
+    /// The directory as this node knows it.
     pub snapshot: watch::Receiver<Arc<Snapshot>>,
-    /// Decides for nodes whose home it is.
+    /// Decides for the nodes whose home this node is.
     pub admission: admission::Handle,
     /// The clock of the node.
     pub clock: Clock,
-    /// Whether it takes requests.
+    /// Phase of the shutdown; a node that announced it refuses to be a home.
     pub phase: Phase,
 }
 
@@ -71,7 +71,7 @@
         let held = read_held(params.get_held()?)?;
         self.admission
             .apply(|gate, now| gate.hear(now, &node, held.into_iter().collect()));
-        tracing::info!(%node, "this node decides for another one");
+        tracing::info!(%node, "this node decides as home of another node");
         let desk = Desk::new(self.admission.clone(), self.clock);
         results.get().set_desk(capnp_rpc::new_client(desk));
         Ok(())
@@ -93,52 +93,53 @@
     }
 }
 
-/// Serves other nodes for ever.
+/// Serves the calls of other nodes; never returns.
 pub async fn serve(listener: TcpListener, offer: Offer) {
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                tracing::warn!(%error, "a node's connection was not accepted");
+                tracing::warn!(%error, "connection of a node could not be accepted");
                 sleep(ACCEPT_PAUSE).await;
                 continue;
             }
         };
-        // A node that is gone gives its places back once the probes tell so.
-        if let Err(error) = pool::watch(&stream, &UPSTREAM) {
-            tracing::debug!(%error, "a node's connection closed at once");
+        // Keepalive probes end the connection of a node that is gone, which
+        // gives its places at endpoints back.
+        if let Err(error) = pool::watch(&stream, &UPSTREAM_LIMITS) {
+            tracing::debug!(%error, "connection of a node closed during setup");
             continue;
         }
         let network = match stream::network(stream, Side::Server, &Metrics::default()) {
             Ok(network) => network,
             Err(error) => {
-                tracing::debug!(%error, "a node's connection closed at once");
+                tracing::debug!(%error, "connection of a node closed during setup");
                 continue;
             }
         };
         let client: directory::Client = capnp_rpc::new_client(offer.clone());
         let system = RpcSystem::new(Box::new(network), Some(client.client));
         spawn_local(async move {
-            // The other node closes the connection; TCP finds out if it is gone.
+            // The other node closes the connection, or the keepalive probes end it.
             if let Err(error) = system.await {
-                tracing::debug!(%error, "a node's connection ended");
+                tracing::debug!(%error, "connection of a node ended");
             }
         });
     }
 }
 
-/// Asks another node for its directory; none if it knows nothing.
+/// Fetches the directory of another node; `None` if it has no plan.
 ///
 /// # Errors
 ///
 /// Fails if the node can't be reached or does not answer in time.
-pub async fn ask(address: SocketAddr) -> Result<Option<Snapshot>, Failure> {
-    timeout(TIMEOUT, read(address))
+pub async fn fetch_snapshot(address: SocketAddr) -> Result<Option<Snapshot>, Failure> {
+    timeout(FETCH_TIMEOUT, read_snapshot(address))
         .await
         .unwrap_or(Err(Failure::Silent))
 }
 
-async fn read(address: SocketAddr) -> Result<Option<Snapshot>, Failure> {
+async fn read_snapshot(address: SocketAddr) -> Result<Option<Snapshot>, Failure> {
     let connection = connect(address).await?;
     let response = connection.client.read_request().send().promise.await?;
     let bytes = response.get()?.get_snapshot()?;
@@ -148,17 +149,17 @@
     Ok(Some(serde_json::from_slice(bytes)?))
 }
 
-/// A connection to another node; dropping it closes it.
+/// Connection to another node, closed when it is dropped.
 pub(crate) struct Connection {
-    /// What the other node offers.
+    /// Client of the other node's directory.
     pub(crate) client: directory::Client,
     _driver: JoinSet<Result<(), Error>>,
 }
 
-/// Connects to another node; needs a local task set.
+/// Connects to another node; must run in a local task set.
 pub(crate) async fn connect(address: SocketAddr) -> Result<Connection, Failure> {
     let stream = TcpStream::connect(address).await?;
-    pool::watch(&stream, &UPSTREAM)?;
+    pool::watch(&stream, &UPSTREAM_LIMITS)?;
     let network = stream::network(stream, Side::Client, &Metrics::default())?;
     let mut system = RpcSystem::new(Box::new(network), None);
     let client = system.bootstrap(Side::Server);
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,9 +1,9 @@
-//! The gateway: takes requests of callers along the routes of one plan to
-//! endpoints, with quotas and budgets that all nodes share.
+//! The gateway: forwards requests of callers to endpoints along the routes of
+//! one plan, with quotas and retry budgets that all nodes share.
 //!
-//! It decides, keeps state and recovers; how heads are written and where the
-//! directory is kept comes from implementations of [`dialect::Dialect`] and
-//! [`directory::Source`].
+//! This crate decides, keeps state and recovers from failures. The header
+//! format and the store of the directory are pluggable, through
+//! implementations of [`dialect::Dialect`] and [`directory::Source`].
 
 pub mod admission;
 pub mod attempt;
@@ -15,7 +15,7 @@
 pub mod events;
 pub mod exchange;
 pub mod home;
-pub mod journal;
+pub mod logging;
 pub mod metrics;
 pub mod node;
 pub mod peers;
--- a/gateway/src/journal.rs
+++ b/gateway/src/logging.rs
@@ -1,29 +1,29 @@
-//! The log: one JSON object a line on standard output, bounded and never
-//! blocking.
+//! Logs to standard output, one JSON object a line; the buffer is bounded and
+//! a full one drops lines instead of blocking.
 
 use std::io;
 
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::filter::LevelFilter;
 
-/// Lines that may wait to be written; more are dropped and counted.
-const MAX_LINES: usize = 4096;
+/// Lines that are buffered; lines beyond that are dropped and counted.
+const MAX_BUFFERED_LINES: usize = 4096;
 
-/// The running log; dropping it writes what waits.
-pub struct Journal {
+/// The running log; dropping it writes the buffered lines.
+pub struct Log {
     dropped: ErrorCounter,
     _worker: WorkerGuard,
 }
 
-/// Starts the log.
+/// Starts logging.
 ///
 /// # Errors
 ///
-/// Fails if a log was started before.
-pub fn start() -> eyre::Result<Journal> {
+/// Fails if logging was started before.
+pub fn start() -> eyre::Result<Log> {
     let (writer, worker) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(MAX_LINES)
+        .buffered_lines_limit(MAX_BUFFERED_LINES)
         .finish(io::stdout());
     let dropped = writer.error_counter();
     tracing_subscriber::fmt()
@@ -36,14 +36,14 @@
         .with_span_list(false)
         .try_init()
         .map_err(|error| eyre::eyre!("the log can't be set up: {error}"))?;
-    Ok(Journal {
+    Ok(Log {
         dropped,
         _worker: worker,
     })
 }
 
-impl Journal {
-    /// Returns the number of lines that were dropped.
+impl Log {
+    /// Returns the number of dropped lines.
     #[must_use]
     pub fn dropped(&self) -> usize {
         self.dropped.dropped_lines()
--- a/gateway/src/node.rs
+++ b/gateway/src/node.rs
@@ -1,4 +1,4 @@
-//! Builds a gateway from its parts and runs it until it is told to stop.
+//! Builds a gateway from its components and runs it until it is told to stop.
 
 use std::{
     future::Future,
@@ -40,12 +40,12 @@
 use crate::{
     admission,
     chain::{Chain, lock},
-    controller::{self, Controller, Outlet, Pace, Registration},
+    controller::{self, Controller, Outputs, PollInterval, Registration},
     dialect::Dialect,
     directory::{self, Snapshot, Source},
     exchange::{self, Offer},
     home::Link,
-    journal::Journal,
+    logging::Log,
     metrics::Metrics,
     peers::{self, Peers},
     settings::Settings,
@@ -54,35 +54,36 @@
 /// Prefix of every metric's name.
 const METRICS_PREFIX: &str = "dottereltally";
 
-/// Time between two looks at the waiting requests.
+/// Interval at which waiting requests are checked for their deadlines.
 const TICK: Duration = Duration::from_millis(20);
 
 /// Time between two updates of the gauges.
-const GAUGES: Duration = Duration::from_secs(1);
+const GAUGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time that a node goes on taking requests while it is not ready: the
-/// balancer asks once a second and acts on the second miss.
+/// Time for which a node that shuts down still takes requests after it reports
+/// that it is not ready: the balancer checks once a second and acts on the
+/// second failed check.
 const NOTICE: Duration = Duration::from_millis(2600);
 
-/// Part of the grace period that the notice takes at the most.
-const NOTICE_PART: u32 = 3;
+/// The notice takes at most the grace period divided by this.
+const NOTICE_DIVISOR: u32 = 3;
 
-/// Time kept back from the grace period to end by itself.
+/// Time at the end of the grace period that is left for the process to exit.
 const GRACE_MARGIN: Duration = Duration::from_millis(300);
 
-/// Time between two questions to other nodes while nothing is known.
-const INHERIT_PERIOD: Duration = Duration::from_millis(400);
+/// Time between two attempts to fetch the directory from a seed.
+const SEED_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Limits of connections before the plan's own apply.
-const LIMITS: server::Limits = server::Limits {
+/// Limits of connections until those of the plan apply.
+const CONNECTION_LIMITS: server::Limits = server::Limits {
     head: 64 * 1024,
     head_timeout: Duration::from_mins(2),
     write_timeout: Duration::from_secs(20),
 };
 
 /// Time limits of connections to endpoints and between nodes: a data centre that is cut off and
-/// a connection that fell silent must show well within a caller's patience.
-pub(crate) const UPSTREAM: pool::Limits = pool::Limits {
+/// a connection that fell silent must be detected well within a caller's patience.
+pub(crate) const UPSTREAM_LIMITS: pool::Limits = pool::Limits {
     connect: Duration::from_millis(250),
     probe: Duration::from_secs(1),
     probe_interval: Duration::from_secs(1),
@@ -90,11 +91,11 @@
     idle: Duration::from_secs(5),
 };
 
-/// The parts that come from outside the product.
-pub struct Parts<D, S> {
-    /// How heads are written.
+/// Adapters to the platform that the gateway runs on.
+pub struct Adapters<D, S> {
+    /// Translates the headers of requests and answers.
     pub dialect: D,
-    /// Where the directory is kept.
+    /// Stores the directory.
     pub source: S,
 }
 
@@ -112,56 +113,56 @@
         let listen = &settings.listen;
         let beats = UdpSocket::bind(listen.beats)
             .await
-            .wrap_err_with(|| occupied(listen.beats, "listen.beats"))?;
+            .wrap_err_with(|| bind_failure(listen.beats, "listen.beats"))?;
         Ok(Self {
-            callers: tcp(listen.callers, "listen.callers").await?,
-            health: tcp(listen.health, "listen.health").await?,
-            operations: tcp(listen.operations, "listen.operations").await?,
-            peers: tcp(listen.peers, "listen.peers").await?,
+            callers: bind_tcp(listen.callers, "listen.callers").await?,
+            health: bind_tcp(listen.health, "listen.health").await?,
+            operations: bind_tcp(listen.operations, "listen.operations").await?,
+            peers: bind_tcp(listen.peers, "listen.peers").await?,
             beats,
         })
     }
 }
 
-async fn tcp(address: SocketAddr, field: &str) -> eyre::Result<TcpListener> {
+async fn bind_tcp(address: SocketAddr, field: &str) -> eyre::Result<TcpListener> {
     let listener = TcpListener::bind(address).await;
-    listener.wrap_err_with(|| occupied(address, field))
+    listener.wrap_err_with(|| bind_failure(address, field))
 }
 
-fn occupied(address: SocketAddr, field: &str) -> String {
-    format!("{address} can't be listened on; change `{field}`")
+fn bind_failure(address: SocketAddr, field: &str) -> String {
+    format!("can't listen on {address}; change `{field}`")
 }
 
-/// What the parts of a node tell each other.
-struct Wires {
+/// Channels between the components of a node.
+struct Channels {
     plan: watch::Sender<Option<Arc<Plan>>>,
     nodes: watch::Sender<Vec<directory::Node>>,
     homes: watch::Sender<Vec<directory::Node>>,
-    listed: watch::Sender<bool>,
+    endpoints_known: watch::Sender<bool>,
     snapshot: watch::Sender<Arc<Snapshot>>,
 }
 
-impl Default for Wires {
+impl Default for Channels {
     fn default() -> Self {
         Self {
             plan: watch::Sender::new(None),
             nodes: watch::Sender::new(Vec::new()),
             homes: watch::Sender::new(Vec::new()),
-            listed: watch::Sender::new(false),
+            endpoints_known: watch::Sender::new(false),
             snapshot: watch::Sender::new(Arc::new(Snapshot::default())),
         }
     }
 }
 
-/// Runs a gateway until it is told to stop; needs a local task set.
+/// Runs a gateway until it is told to stop; must run in a local task set.
 ///
 /// # Errors
 ///
-/// Fails if it can't listen.
+/// Fails if it can't bind its addresses, start its actors or listen for signals.
 pub async fn run<D: Dialect, S: Source>(
     settings: Settings,
-    parts: Parts<D, S>,
-    journal: Journal,
+    adapters: Adapters<D, S>,
+    log: Log,
     reload: impl Fn() -> Option<Settings>,
 ) -> eyre::Result<()> {
     tracing::info!(
@@ -176,8 +177,13 @@
     let mut registry = Registry::with_prefix(METRICS_PREFIX);
     registry.register_collector(Box::new(Process));
     metrics.register(&mut registry);
-    let wires = Wires::default();
-    let chain = Arc::new(chain(&settings, parts.dialect, &wires, &metrics));
+    let channels = Channels::default();
+    let chain = Arc::new(build_chain(
+        &settings,
+        adapters.dialect,
+        &channels,
+        &metrics,
+    ));
     let own = directory::Node {
         name: settings.node.clone(),
         address: settings.listen.beats.to_string(),
@@ -185,9 +191,9 @@
         calls: settings.listen.peers.to_string(),
         share: thousandths(settings.processor_share),
     };
-    let controller = follow(&settings, &parts.source, &chain, &wires).await?;
+    let controller = start_controller(&settings, &adapters.source, &chain, &channels).await?;
     let offer = Offer {
-        snapshot: wires.snapshot.subscribe(),
+        snapshot: channels.snapshot.subscribe(),
         admission: chain.admission.clone(),
         clock: chain.clock,
         phase: chain.phase.clone(),
@@ -197,20 +203,20 @@
         own.name.clone(),
         chain.admission.clone(),
         chain.clock,
-        wires.homes.subscribe(),
+        channels.homes.subscribe(),
     );
     spawn_local(link.run());
-    spawn_local(inherit(
+    spawn_local(fetch_from_seeds(
         settings.seeds.clone(),
-        wires.listed.subscribe(),
+        channels.endpoints_known.subscribe(),
         controller,
     ));
-    let registration = Arc::new(Registration::new(parts.source, own.clone(), metrics));
-    let keeping = Arc::clone(&registration);
-    tokio::spawn(async move { keeping.run().await });
-    meet(own, listeners.beats, &chain, &wires).await?;
+    let registration = Arc::new(Registration::new(adapters.source, own.clone(), metrics));
+    let renewed = Arc::clone(&registration);
+    tokio::spawn(async move { renewed.run().await });
+    start_peers(own, listeners.beats, &chain, &channels).await?;
     let stop = watch::Sender::new(false);
-    let state = State::new(&settings, &chain, &wires);
+    let state = State::new(&settings, &chain, &channels);
     serve_pages(
         state,
         registry,
@@ -218,22 +224,22 @@
         listeners.operations,
         &stop,
     );
-    tokio::spawn(tick(chain.admission.clone()));
-    tokio::spawn(gauges(
+    tokio::spawn(tick_gate(chain.admission.clone()));
+    tokio::spawn(update_gauges(
         chain.admission.clone(),
         chain.metrics.clone(),
-        journal,
+        log,
     ));
     let serving = Arc::clone(&chain);
     let handler = move |request| Arc::clone(&serving).serve(request);
     let serving = tokio::spawn(server::serve(
         listeners.callers,
-        LIMITS,
+        CONNECTION_LIMITS,
         chain.phase.draining(),
         handler,
     ));
-    wait(&chain, reload).await?;
-    drain(&settings, &chain.phase, &registration, serving).await;
+    wait_for_shutdown(&chain, reload).await?;
+    shut_down(&settings, &chain.phase, &registration, serving).await;
     Ok(())
 }
 
@@ -247,7 +253,12 @@
     thousandths
 }
 
-fn chain<D>(settings: &Settings, dialect: D, wires: &Wires, metrics: &Metrics) -> Chain<D> {
+fn build_chain<D>(
+    settings: &Settings,
+    dialect: D,
+    channels: &Channels,
+    metrics: &Metrics,
+) -> Chain<D> {
     let clock = Clock::start();
     let gate = Gate::new(gate::Settings {
         data_centre: settings.data_centre.clone(),
@@ -256,9 +267,9 @@
     Chain {
         clock,
         dialect,
-        plan: wires.plan.subscribe(),
+        plan: channels.plan.subscribe(),
         admission: admission::Handle::new(gate, clock),
-        upstream: Pool::new(UPSTREAM),
+        upstream: Pool::new(UPSTREAM_LIMITS),
         ledger: Mutex::new(Ledger::new(settings.quotas)),
         budget: Mutex::new(Budget::new(settings.retries)),
         crashes: Mutex::new(crash::Watch::default()),
@@ -267,96 +278,96 @@
     }
 }
 
-/// Starts to keep the directory in force.
-async fn follow<D, S: Source>(
+/// Starts the controller of the directory and the task that follows the source.
+async fn start_controller<D, S: Source>(
     settings: &Settings,
     source: &S,
     chain: &Chain<D>,
-    wires: &Wires,
+    channels: &Channels,
 ) -> eyre::Result<ActorRef<controller::Message>> {
-    let outlet = Outlet {
+    let outputs = Outputs {
         clock: chain.clock,
-        plan: wires.plan.clone(),
+        plan: channels.plan.clone(),
         admission: chain.admission.clone(),
-        nodes: wires.nodes.clone(),
-        listed: wires.listed.clone(),
-        snapshot: wires.snapshot.clone(),
+        nodes: channels.nodes.clone(),
+        endpoints_known: channels.endpoints_known.clone(),
+        snapshot: channels.snapshot.clone(),
         metrics: chain.metrics.clone(),
         own: settings.node.clone(),
     };
-    let (controller, _running) = Actor::spawn(None, Controller, outlet)
+    let (controller, _running) = Actor::spawn(None, Controller, outputs)
         .await
-        .wrap_err("the controller of the directory can't be started")?;
-    let promise = settings.bounds.drain.min(settings.bounds.apply);
+        .wrap_err("the directory controller can't be started")?;
+    let bound = settings.bounds.drain.min(settings.bounds.apply);
     tokio::spawn(controller::follow::run(
         source.clone(),
-        Pace::within(promise),
+        PollInterval::within(bound),
         controller.clone(),
         chain.metrics.clone(),
     ));
     Ok(controller)
 }
 
-/// Asks other nodes for the directory until it is known.
-async fn inherit(
+/// Asks the seeds for the directory, one after the other, until it is known.
+async fn fetch_from_seeds(
     seeds: Vec<SocketAddr>,
-    listed: watch::Receiver<bool>,
+    endpoints_known: watch::Receiver<bool>,
     controller: ActorRef<controller::Message>,
 ) {
     let mut seeds = seeds.iter().cycle();
     loop {
-        sleep(INHERIT_PERIOD).await;
-        if *listed.borrow() {
+        sleep(SEED_INTERVAL).await;
+        if *endpoints_known.borrow() {
             return;
         }
         let Some(seed) = seeds.next() else {
             return;
         };
-        match exchange::ask(*seed).await {
+        match exchange::fetch_snapshot(*seed).await {
             Ok(None) => {}
             Ok(Some(snapshot)) => {
-                let told = controller::Message::Told(Box::new(snapshot));
-                if let Err(error) = controller.send_message(told) {
-                    tracing::error!(%error, "the controller of the directory stopped");
+                let message = controller::Message::PeerSnapshot(Box::new(snapshot));
+                if let Err(error) = controller.send_message(message) {
+                    tracing::error!(%error, "directory controller has stopped");
                     return;
                 }
             }
-            Err(error) => tracing::info!(%seed, %error, "a node told no directory"),
+            Err(error) => tracing::info!(%seed, %error, "directory not received from seed"),
         }
     }
 }
 
-/// Starts to talk to the other nodes.
-async fn meet<D: Dialect>(
+/// Starts the exchange of heartbeats with the other nodes.
+async fn start_peers<D: Dialect>(
     own: directory::Node,
     socket: UdpSocket,
     chain: &Arc<Chain<D>>,
-    wires: &Wires,
+    channels: &Channels,
 ) -> eyre::Result<()> {
-    let mut nodes = wires.nodes.subscribe();
+    let mut nodes = channels.nodes.subscribe();
     let socket = Arc::new(socket);
     let arguments = peers::Arguments {
         own,
         socket: Arc::clone(&socket),
         chain: Arc::clone(chain),
-        homes: wires.homes.clone(),
+        homes: channels.homes.clone(),
     };
     let (peers, _running) = Actor::spawn(None, Peers::default(), arguments)
         .await
-        .wrap_err("the controller of the nodes can't be started")?;
+        .wrap_err("the peer actor can't be started")?;
     tokio::spawn(peers::listen(socket, peers.clone()));
     tokio::spawn(async move {
         while nodes.changed().await.is_ok() {
             let registered = nodes.borrow_and_update().clone();
             if let Err(error) = peers.send_message(peers::Message::Registered(registered)) {
-                tracing::error!(%error, "the controller of the nodes stopped");
+                tracing::error!(%error, "peer actor has stopped");
             }
         }
     });
     Ok(())
 }
 
-/// Serves the balancer's checks and the operators' pages.
+/// Serves the health checks of the balancer and the pages for operators.
 fn serve_pages(
     state: State,
     registry: Registry,
@@ -364,65 +375,80 @@
     operations: TcpListener,
     stop: &watch::Sender<bool>,
 ) {
-    let checked = state.clone();
-    let checks = move |_request: http::Request<_>| {
-        let ready = checked.is_ready();
-        async move { check(ready) }
+    let health_state = state.clone();
+    let health_handler = move |_request: http::Request<_>| {
+        let ready = health_state.is_ready();
+        async move { health_response(ready) }
     };
-    tokio::spawn(server::serve(health, LIMITS, stop.subscribe(), checks));
+    tokio::spawn(server::serve(
+        health,
+        CONNECTION_LIMITS,
+        stop.subscribe(),
+        health_handler,
+    ));
     let pages = Arc::new(Pages::new(registry, state));
     let handler = move |request: http::Request<_>| {
         let pages = Arc::clone(&pages);
         async move { pages.get(request.method(), request.uri().path()).await }
     };
-    tokio::spawn(server::serve(operations, LIMITS, stop.subscribe(), handler));
+    tokio::spawn(server::serve(
+        operations,
+        CONNECTION_LIMITS,
+        stop.subscribe(),
+        handler,
+    ));
 }
 
-/// Waits for the signal to stop; reloads the settings on the way.
-async fn wait<D>(chain: &Chain<D>, reload: impl Fn() -> Option<Settings>) -> eyre::Result<()> {
+/// Waits for the signal to stop; reloads the settings at each hangup signal.
+async fn wait_for_shutdown<D>(
+    chain: &Chain<D>,
+    reload: impl Fn() -> Option<Settings>,
+) -> eyre::Result<()> {
     let mut hangups = signal(SignalKind::hangup())?;
     let stopping = shutdown::requested();
     tokio::pin!(stopping);
     loop {
         tokio::select! {
             requested = &mut stopping => return Ok(requested?),
-            _ = hangups.recv() => apply(chain, reload()),
+            _ = hangups.recv() => apply_settings(chain, reload()),
         }
     }
 }
 
-/// Takes over changed settings; addresses stay until the next start.
-fn apply<D>(chain: &Chain<D>, settings: Option<Settings>) {
+/// Applies changed budgets and quotas; other settings need a restart.
+fn apply_settings<D>(chain: &Chain<D>, settings: Option<Settings>) {
     let Some(settings) = settings else {
-        tracing::error!("the changed settings can't be used; those in force stay");
+        tracing::error!("changed settings can't be used; the current ones stay in force");
         return;
     };
     lock(&chain.budget).agree(settings.retries);
     lock(&chain.ledger).agree(settings.quotas);
-    tracing::info!("settings reloaded: budgets and quotas; the rest changes with the next start");
+    tracing::info!("settings reloaded: budgets and quotas; other changes need a restart");
 }
 
-/// Stops in an order that cuts no request.
-async fn drain<S: Source>(
+/// Shuts down in an order that avoids interrupting requests: reports not
+/// ready, waits for the balancer to notice, then takes no new requests and
+/// finishes the running ones.
+async fn shut_down<S: Source>(
     settings: &Settings,
     phase: &Phase,
     registration: &Registration<S>,
     serving: JoinHandle<()>,
 ) {
     let grace = settings.bounds.grace;
-    let notice = NOTICE.min(grace / NOTICE_PART);
+    let notice = NOTICE.min(grace / NOTICE_DIVISOR);
     phase.announce();
-    tracing::info!("shutting down: not ready any more");
-    tokio::join!(registration.leave(), sleep(notice));
+    tracing::info!("shutting down: reporting not ready");
+    tokio::join!(registration.deregister(), sleep(notice));
     phase.drain();
-    tracing::info!("shutting down: no new requests");
+    tracing::info!("shutting down: taking no new requests");
     let left = grace.saturating_sub(notice).saturating_sub(GRACE_MARGIN);
     let finished = timeout(left, serving).await;
     tracing::info!(whole = finished.is_ok(), "node stopped");
 }
 
-/// Looks at the waiting requests from time to time.
-async fn tick(admission: admission::Handle) {
+/// Runs the gate's timer while requests wait.
+async fn tick_gate(admission: admission::Handle) {
     let mut ticks = interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -433,15 +459,15 @@
     }
 }
 
-async fn gauges(admission: admission::Handle, metrics: Metrics, journal: Journal) {
-    let mut ticks = interval(GAUGES);
+async fn update_gauges(admission: admission::Handle, metrics: Metrics, log: Log) {
+    let mut ticks = interval(GAUGE_INTERVAL);
     let mut dropped = 0;
     loop {
         ticks.tick().await;
         let gauge = |value: usize| i64::try_from(value).unwrap_or(i64::MAX);
         metrics.waiting.set(gauge(admission.read(Gate::waiting)));
         metrics.running.set(gauge(admission.read(Gate::running)));
-        let total = journal.dropped();
+        let total = log.dropped();
         metrics.dropped_lines.set(gauge(total));
         if total > dropped {
             tracing::warn!(lines = total - dropped, "log lines dropped");
@@ -450,7 +476,7 @@
     }
 }
 
-fn check(ready: bool) -> Response<Body> {
+fn health_response(ready: bool) -> Response<Body> {
     let mut response = Response::new(Body::full(Bytes::new()));
     if !ready {
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
@@ -458,31 +484,31 @@
     response
 }
 
-/// What the pages for operators tell.
+/// State that the health checks and the pages for operators report.
 #[derive(Clone)]
 struct State {
     node: id::Node,
     data_centre: id::DataCentre,
     plan: watch::Receiver<Option<Arc<Plan>>>,
-    listed: watch::Receiver<bool>,
+    endpoints_known: watch::Receiver<bool>,
     nodes: watch::Receiver<Vec<directory::Node>>,
     phase: Phase,
 }
 
 impl State {
-    fn new<D>(settings: &Settings, chain: &Chain<D>, wires: &Wires) -> Self {
+    fn new<D>(settings: &Settings, chain: &Chain<D>, channels: &Channels) -> Self {
         Self {
             node: settings.node.clone(),
             data_centre: settings.data_centre.clone(),
-            plan: wires.plan.subscribe(),
-            listed: wires.listed.subscribe(),
-            nodes: wires.nodes.subscribe(),
+            plan: channels.plan.subscribe(),
+            endpoints_known: channels.endpoints_known.subscribe(),
+            nodes: channels.nodes.subscribe(),
             phase: chain.phase.clone(),
         }
     }
 
     fn is_ready(&self) -> bool {
-        self.plan.borrow().is_some() && *self.listed.borrow() && !self.phase.is_announced()
+        self.plan.borrow().is_some() && *self.endpoints_known.borrow() && !self.phase.is_announced()
     }
 }
 
@@ -495,7 +521,7 @@
             data_centre: self.data_centre.clone(),
             generation: generation.unwrap_or_default(),
             draining: self.phase.is_announced(),
-            platform: *self.listed.borrow(),
+            platform: *self.endpoints_known.borrow(),
             peers: nodes.into_iter().map(|node| node.name).collect(),
             services: Vec::new(),
             endpoints: Vec::new(),
--- /dev/null
+++ b/gateway/tests/test_endpoints.rs
@@ -0,0 +1,144 @@
+//! The node's view of the endpoints across outages of the source.
+
+use std::collections::BTreeMap;
+
+use dottereltally_gateway::{controller::Endpoints, directory::Entry};
+use dottereltally_lib::{
+    endpoint::{Record, Standing},
+    id, time,
+};
+use rstest::rstest;
+
+fn at(millis: u64) -> time::Instant {
+    time::Instant::from_micros(millis * 1000)
+}
+
+fn entry(standing: Standing, born: Option<u64>, sequence: u64) -> Entry {
+    Entry {
+        record: Record {
+            id: id::Endpoint::from("e"),
+            address: "10.0.0.1:80".to_owned(),
+            service: id::Service::from("s"),
+            data_centre: id::DataCentre::from("dc"),
+            standing,
+            places: Some(4),
+        },
+        born,
+        sequence,
+    }
+}
+
+fn endpoint() -> id::Endpoint {
+    id::Endpoint::from("e")
+}
+
+fn with_live_endpoint() -> Endpoints {
+    let mut endpoints = Endpoints::default();
+    let entries = BTreeMap::from([(endpoint(), entry(Standing::Live, Some(100), 5))]);
+    endpoints.replace(at(0), entries);
+    assert_eq!(endpoints.take_changed(at(0)).unwrap().len(), 1);
+    endpoints
+}
+
+#[test]
+fn a_removal_takes_effect_at_once_while_the_source_is_available() {
+    let mut endpoints = with_live_endpoint();
+    endpoints.remove(at(1000), &endpoint());
+    assert!(endpoints.take_changed(at(1000)).unwrap().is_empty());
+}
+
+#[test]
+fn a_description_that_expired_during_an_outage_is_kept_for_the_grace_period() {
+    let mut endpoints = with_live_endpoint();
+    endpoints.begin_outage(at(1000));
+    endpoints.end_outage(at(6000));
+    endpoints.replace(at(6000), BTreeMap::new());
+    assert_eq!(
+        endpoints.take_changed(at(7900)),
+        None,
+        "it may be written again"
+    );
+    assert!(endpoints.take_changed(at(8100)).unwrap().is_empty());
+}
+
+#[test]
+fn a_description_renewed_within_the_grace_period_is_kept() {
+    let mut endpoints = with_live_endpoint();
+    endpoints.begin_outage(at(1000));
+    endpoints.end_outage(at(6000));
+    endpoints.remove(at(6000), &endpoint());
+    endpoints.update(
+        at(7000),
+        endpoint(),
+        Some(entry(Standing::Live, Some(100), 9)),
+    );
+    let records = endpoints.take_changed(at(9000)).unwrap();
+    assert_eq!(records.len(), 1);
+}
+
+#[test]
+fn a_leaving_endpoint_is_not_kept_after_an_outage() {
+    let mut endpoints = with_live_endpoint();
+    endpoints.update(
+        at(500),
+        endpoint(),
+        Some(entry(Standing::Leaving, Some(100), 6)),
+    );
+    endpoints.begin_outage(at(1000));
+    endpoints.end_outage(at(6000));
+    endpoints.remove(at(6000), &endpoint());
+    assert!(endpoints.take_changed(at(6000)).unwrap().is_empty());
+}
+
+#[rstest]
+#[case::same_process(Some(100), 4)]
+#[case::earlier_process(Some(50), 99)]
+#[case::unknown_process(None, 99)]
+fn an_older_description_does_not_undo_leaving(#[case] born: Option<u64>, #[case] sequence: u64) {
+    let mut endpoints = with_live_endpoint();
+    endpoints.update(
+        at(500),
+        endpoint(),
+        Some(entry(Standing::Leaving, Some(100), 6)),
+    );
+    endpoints.update(
+        at(600),
+        endpoint(),
+        Some(entry(Standing::Live, born, sequence)),
+    );
+    let records = endpoints.take_changed(at(600)).unwrap();
+    assert_eq!(records[0].standing, Standing::Leaving);
+}
+
+#[test]
+fn a_new_process_replaces_the_description_of_the_earlier_one() {
+    let mut endpoints = with_live_endpoint();
+    endpoints.update(
+        at(500),
+        endpoint(),
+        Some(entry(Standing::Leaving, Some(100), 6)),
+    );
+    endpoints.update(
+        at(900),
+        endpoint(),
+        Some(entry(Standing::Live, Some(200), 1)),
+    );
+    let records = endpoints.take_changed(at(900)).unwrap();
+    assert_eq!(records[0].standing, Standing::Live);
+}
+
+#[test]
+fn an_unusable_description_removes_the_endpoint() {
+    let mut endpoints = with_live_endpoint();
+    endpoints.update(at(500), endpoint(), None);
+    assert!(endpoints.take_changed(at(500)).unwrap().is_empty());
+}
+
+#[test]
+fn the_start_and_end_of_an_outage_are_reported_once() {
+    let mut endpoints = with_live_endpoint();
+    assert!(endpoints.begin_outage(at(1000)));
+    assert!(!endpoints.begin_outage(at(1500)));
+    assert_eq!(endpoints.end_outage(at(3000)).unwrap().as_millis(), 2000);
+    assert_eq!(endpoints.end_outage(at(3100)), None);
+}
--- a/gateway/tests/test_exchange.rs
+++ b/gateway/tests/test_exchange.rs
@@ -1,4 +1,5 @@
-//! What nodes tell each other while the key-value service is away.
+//! Directories that nodes fetch from each other while the key-value service is
+//! unavailable.
 
 mod common;
 
@@ -50,8 +51,8 @@
     }
 }
 
-/// Asks a node that knows this much.
-async fn ask(known: Snapshot) -> Option<Snapshot> {
+/// Fetches the directory of a node that knows this one.
+async fn fetch(known: Snapshot) -> Option<Snapshot> {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (_sender, receiver) = watch::channel(Arc::new(known));
@@ -63,30 +64,32 @@
         phase: Phase::default(),
     };
     spawn_local(exchange::serve(listener, offer));
-    exchange::ask(address).await.unwrap()
+    exchange::fetch_snapshot(address).await.unwrap()
 }
 
 #[tokio::test]
-async fn a_node_tells_all_that_it_knows() {
+async fn a_node_returns_its_whole_directory() {
     let known = snapshot();
-    let told = LocalSet::new().run_until(ask(known.clone())).await;
-    let told = told.expect("a directory");
-    assert_eq!(told.plan, known.plan);
-    assert_eq!(told.endpoints, known.endpoints);
-    assert_eq!(told.nodes, known.nodes);
+    let fetched = LocalSet::new().run_until(fetch(known.clone())).await;
+    let fetched = fetched.expect("a directory");
+    assert_eq!(fetched.plan, known.plan);
+    assert_eq!(fetched.endpoints, known.endpoints);
+    assert_eq!(fetched.nodes, known.nodes);
 }
 
 #[tokio::test]
-async fn a_node_without_a_plan_tells_nothing() {
-    let told = LocalSet::new().run_until(ask(Snapshot::default())).await;
-    assert!(told.is_none());
+async fn a_node_without_a_plan_returns_nothing() {
+    let fetched = LocalSet::new().run_until(fetch(Snapshot::default())).await;
+    assert!(fetched.is_none());
 }
 
 #[tokio::test]
-async fn a_port_without_a_node_is_an_error() {
+async fn an_unreachable_node_is_an_error() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
-    let asked = LocalSet::new().run_until(exchange::ask(address)).await;
-    assert!(asked.is_err());
+    let result = LocalSet::new()
+        .run_until(exchange::fetch_snapshot(address))
+        .await;
+    assert!(result.is_err());
 }
--- a/gateway/tests/test_registration.rs
+++ b/gateway/tests/test_registration.rs
@@ -1,4 +1,4 @@
-//! Registration of a node, against a source in memory.
+//! Registration of a node, against an in-memory source.
 
 use std::{
     sync::{Arc, Mutex},
@@ -14,7 +14,7 @@
 use dottereltally_store::kv::{Error, Lease, Revision};
 use tokio::time::sleep;
 
-/// Leases as a source keeps them.
+/// Source that keeps only leases.
 #[derive(Clone, Default)]
 struct Leases {
     state: Arc<Mutex<State>>,
@@ -56,7 +56,7 @@
         Err(Error::UnknownLease(lease))
     }
 
-    async fn leave(&self, lease: Lease) -> Result<(), Error> {
+    async fn deregister(&self, lease: Lease) -> Result<(), Error> {
         self.state
             .lock()
             .unwrap()
@@ -78,11 +78,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lapsed_registration_is_made_anew() {
+async fn an_expired_registration_is_renewed_under_a_new_lease() {
     let leases = Leases::default();
     let registration = registration(&leases);
-    let keeping = Arc::clone(&registration);
-    tokio::spawn(async move { keeping.run().await });
+    let renewed = Arc::clone(&registration);
+    tokio::spawn(async move { renewed.run().await });
     sleep(Duration::from_secs(1)).await;
     assert_eq!(leases.live(), [Lease(1)]);
     leases.state.lock().unwrap().live.clear();
@@ -91,13 +91,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_that_left_does_not_register_again() {
+async fn a_deregistered_node_does_not_register_again() {
     let leases = Leases::default();
     let registration = registration(&leases);
-    let keeping = Arc::clone(&registration);
-    let running = tokio::spawn(async move { keeping.run().await });
+    let renewed = Arc::clone(&registration);
+    let running = tokio::spawn(async move { renewed.run().await });
     sleep(Duration::from_secs(1)).await;
-    registration.leave().await;
+    registration.deregister().await;
     running.await.unwrap();
     assert!(leases.live().is_empty());
 }
