--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -1,14 +1,16 @@
-//! Which nodes are live, and the updates that they pass on.
+//! Gossip-based membership: which nodes are live, and the updates that they
+//! spread.
 //!
-//! Each period a node exchanges beats with a few random peers. A peer that
-//! does not answer is suspected; the suspicion travels as an update, and the peer
-//! refutes it with a higher version of itself or is dropped. The caller
-//! hands in the time and what arrives, and performs the effects.
+//! Each period a node exchanges heartbeats with a few random peers. A peer that
+//! does not answer becomes a suspect; the suspicion is gossiped, and the peer
+//! either refutes it by raising its version or is dropped after a timeout. The
+//! state machine performs no I/O: the caller passes in the time and the
+//! received messages, and carries out the returned effects.
 
 pub mod beat;
-mod choice;
 mod gossip;
-mod intake;
+mod merge;
+mod selection;
 mod table;
 
 use std::{
@@ -22,39 +24,40 @@
     endpoint, id,
     membership::{
         beat::{Beat, Member, State},
-        gossip::{Queue, Topic},
+        gossip::{Queue, Update},
         table::Table,
     },
     time::Instant,
 };
 
-/// Periods after which an exchange without a result is forgotten.
-const PENDING_PERIODS: u32 = 20;
-/// Periods without a round after which this process counts as paused.
-const PAUSE_PERIODS: u32 = 4;
+/// Periods after which an exchange without a result is abandoned.
+const EXCHANGE_TIMEOUT_PERIODS: u32 = 20;
+/// Periods without a tick after which this process is taken to have been
+/// paused.
+const PAUSE_THRESHOLD_PERIODS: u32 = 4;
 
-/// How the exchanges are paced.
+/// Intervals, timeouts and sizes of the protocol.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Time between two rounds.
     pub period: Duration,
-    /// Peers per round.
+    /// Random live peers contacted per round.
     pub fan_out: usize,
-    /// Least time for a suspected node to refute.
+    /// Suspicion timeout before `suspicion_step` is added.
     pub suspicion: Duration,
-    /// Further time to refute, per doubling of the number of nodes.
+    /// Added to the suspicion timeout per doubling of the number of nodes.
     pub suspicion_step: Duration,
-    /// Time that a node which is not live is remembered.
+    /// Time that the record of a node that is not live is kept.
     pub retention: Duration,
-    /// Updates per beat.
-    pub updates: usize,
-    /// Rounds, on average, between two attempts to reach a node that is
-    /// listed and not live.
-    pub reconnect: u32,
-    /// Expected number of nodes that try a newly suspected node themselves.
+    /// Maximum number of queued updates per heartbeat.
+    pub max_updates: usize,
+    /// Average number of rounds between two attempts to reach a node that is
+    /// in the host list but not live.
+    pub reconnect_rounds: u32,
+    /// Expected number of nodes that contact a newly suspected node themselves.
     pub confirmations: usize,
-    /// Least time between two exchanges of everything that is known.
-    pub resync: Duration,
+    /// Minimum time between two exchanges of the full state.
+    pub min_resync_interval: Duration,
 }
 
 impl Default for Settings {
@@ -65,10 +68,10 @@
             suspicion: Duration::from_millis(800),
             suspicion_step: Duration::from_millis(400),
             retention: Duration::from_mins(10),
-            updates: 64,
-            reconnect: 8,
+            max_updates: 64,
+            reconnect_rounds: 8,
             confirmations: 3,
-            resync: Duration::from_secs(5),
+            min_resync_interval: Duration::from_secs(5),
         }
     }
 }
@@ -76,161 +79,173 @@
 /// One entry host of the host list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Host {
-    /// Name of its node.
+    /// Name of the node that runs on the host.
     pub node: id::Node,
-    /// Where peers reach it, `ip:port`.
+    /// Peer address of the node, `ip:port`.
     pub address: String,
-    /// Whether it stays.
+    /// Whether the host list marks it as live or as leaving.
     pub standing: endpoint::Standing,
 }
 
-/// One thing to be done by the caller.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Exchange beats with a node and hand in the answer or the failure.
+    /// Send a heartbeat to a node and report its answer with
+    /// [`Membership::answered`] or a failure with [`Membership::failed`].
     Exchange {
-        /// The node.
+        /// The target node.
         node: id::Node,
-        /// Where it is reached.
+        /// Its peer address.
         address: String,
-        /// What to send.
+        /// The heartbeat to send.
         beat: Beat,
     },
-    /// These nodes are live now, this one included.
+    /// The set of live nodes has changed to these, the local node included.
     Members(Vec<Member>),
-    /// Fingerprints of crashing requests came from a peer.
+    /// A peer sent fingerprints of crashing requests, each with its remaining
+    /// validity.
     Suspected(Vec<(id::Fingerprint, Duration)>),
-    /// A peer has a higher generation in force.
+    /// This peer has a higher configuration generation in force.
     Outdated(id::Node, id::Generation),
 }
 
-/// The membership as one node sees it.
+/// Membership state machine of one node.
 #[derive(Debug)]
 pub struct Membership {
     settings: Settings,
-    own: Member,
+    local: Member,
     generation: id::Generation,
     table: Table,
     gossip: Queue,
     hosts: BTreeMap<id::Node, Host>,
     fingerprints: BTreeMap<id::Fingerprint, Instant>,
-    confirm: BTreeSet<id::Node>,
+    /// Nodes that this node contacts itself in the next round, because their
+    /// state is in doubt.
+    to_probe: BTreeSet<id::Node>,
+    /// Reports that a node was dropped which this node does not accept; sent to
+    /// the node itself so that it can refute them.
     disputed: BTreeMap<id::Node, Member>,
-    announced: Option<Vec<Member>>,
+    /// Members of the last [`Effect::Members`], without suspicions and versions.
+    last_announced: Option<Vec<Member>>,
+    /// Running exchanges with their start.
     pending: BTreeMap<id::Node, Instant>,
-    ticked: Instant,
-    resynced: Instant,
-    changed: bool,
+    last_tick: Instant,
+    /// When the full state was last sent or received.
+    last_resync: Instant,
+    /// Whether the live members may have changed since they were announced.
+    members_changed: bool,
     rng: SmallRng,
 }
 
 impl Membership {
-    /// Starts with this node alone; `own` is its word on itself.
+    /// Creates a membership that knows only the local node.
     #[must_use]
-    pub fn new(settings: Settings, own: Member, now: Instant, seed: u64) -> Self {
+    pub fn new(settings: Settings, local: Member, now: Instant, seed: u64) -> Self {
         Self {
             settings,
-            own,
+            local,
             generation: id::Generation::default(),
             table: Table::default(),
             gossip: Queue::default(),
             hosts: BTreeMap::new(),
             fingerprints: BTreeMap::new(),
-            confirm: BTreeSet::new(),
+            to_probe: BTreeSet::new(),
             disputed: BTreeMap::new(),
-            announced: None,
+            last_announced: None,
             pending: BTreeMap::new(),
-            ticked: now,
-            resynced: now,
-            changed: true,
+            last_tick: now,
+            last_resync: now,
+            members_changed: true,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// Replaces what the host list says.
+    /// Replaces the host list.
     pub fn listed(&mut self, hosts: Vec<Host>) -> Vec<Effect> {
         self.hosts.clear();
         for host in hosts {
             self.hosts.insert(host.node.clone(), host);
         }
-        self.changed = true;
-        self.settle(Vec::new())
+        self.members_changed = true;
+        self.with_members(Vec::new())
     }
 
-    /// Learns the generation that this node has in force.
+    /// Sets the configuration generation that this node has in force.
     pub fn set_generation(&mut self, generation: id::Generation) {
         self.generation = generation;
     }
 
-    /// Passes on a fingerprint of a crashing request.
+    /// Gossips the fingerprint of a crashing request, which stays valid for the
+    /// given time.
     pub fn quarantine(&mut self, now: Instant, fingerprint: id::Fingerprint, valid: Duration) {
         self.fingerprints.insert(fingerprint, now + valid);
-        self.gossip.push(Topic::Fingerprint(fingerprint));
+        self.gossip.push(Update::Fingerprint(fingerprint));
     }
 
-    /// Tells the peers that this node shuts down.
+    /// Announces to peers that this node is shutting down.
     pub fn leave(&mut self, now: Instant) -> Vec<Effect> {
-        if self.own.state != State::Left {
-            self.own.state = State::Left;
-            self.own.version += 1;
-            self.changed = true;
+        if self.local.state != State::Left {
+            self.local.state = State::Left;
+            self.local.version += 1;
+            self.members_changed = true;
         }
         self.spread(now)
     }
 
-    /// Passes updates on ahead of the next round.
+    /// Sends queued updates now instead of waiting for the next round.
     pub fn spread(&mut self, now: Instant) -> Vec<Effect> {
         let mut effects = Vec::new();
-        for (node, address) in self.choose(2 * self.settings.fan_out) {
+        for (node, address) in self.choose_live(2 * self.settings.fan_out) {
             effects.push(self.exchange(now, node, address, false));
         }
-        self.settle(effects)
+        self.with_members(effects)
     }
 
-    /// Starts a round; called once a period.
+    /// Runs one gossip round; call it once per period.
     pub fn tick(&mut self, now: Instant) -> Vec<Effect> {
-        self.notice_pause(now);
+        self.detect_pause(now);
         self.expire(now);
         let mut effects = Vec::new();
-        let mut targets = self.choose(self.settings.fan_out);
-        targets.extend(self.choose_unverified());
-        let alone = targets.is_empty();
+        let mut targets = self.choose_live(self.settings.fan_out);
+        targets.extend(self.choose_to_probe());
+        let isolated = targets.is_empty();
         for (node, address) in targets {
             effects.push(self.exchange(now, node, address, false));
         }
-        let extra = if alone {
+        let reconnects = if isolated {
             self.settings.fan_out
         } else {
-            usize::from(self.rng.random_ratio(1, self.settings.reconnect.max(1)))
+            usize::from(self.rng.random_ratio(1, self.settings.reconnect_rounds.max(1)))
         };
-        for (node, address) in self.choose_lost(extra) {
+        for (node, address) in self.choose_unreachable_hosts(reconnects) {
             effects.push(self.exchange(now, node, address, true));
         }
-        self.settle(effects)
+        self.with_members(effects)
     }
 
-    /// Takes a peer's beat and returns the answer.
+    /// Handles a heartbeat that a peer sent and returns the answer to it.
     pub fn request(&mut self, now: Instant, beat: &Beat) -> (Beat, Vec<Effect>) {
         let known = self.is_live(&beat.sender.node);
         let mut effects = Vec::new();
-        self.take(now, beat, &mut effects);
-        let astray = beat.digest != self.table.digest(&self.own)
+        self.merge_beat(now, beat, &mut effects);
+        let diverged = beat.digest != self.table.digest(&self.local)
             && self.gossip.is_empty()
-            && now.since(self.resynced) >= self.settings.resync;
-        let whole = beat.whole || !known || astray;
-        let answer = self.beat(now, &beat.sender.node, whole);
-        (answer, self.settle(effects))
+            && now.since(self.last_resync) >= self.settings.min_resync_interval;
+        let full_state = beat.whole || !known || diverged;
+        let answer = self.build_beat(now, &beat.sender.node, full_state);
+        (answer, self.with_members(effects))
     }
 
-    /// Takes a peer's answer.
+    /// Handles a peer's answer to a heartbeat of this node.
     pub fn answered(&mut self, now: Instant, beat: &Beat) -> Vec<Effect> {
         self.pending.remove(&beat.sender.node);
         let mut effects = Vec::new();
-        self.take(now, beat, &mut effects);
-        self.settle(effects)
+        self.merge_beat(now, beat, &mut effects);
+        self.with_members(effects)
     }
 
-    /// Learns that a node did not answer.
+    /// Handles an exchange in which the peer did not answer: the peer becomes a
+    /// suspect.
     pub fn failed(&mut self, now: Instant, node: &id::Node) -> Vec<Effect> {
         if self.pending.remove(node).is_none() {
             return Vec::new();
@@ -243,11 +258,11 @@
             member.state = State::Suspect;
             self.merge(now, &member);
         }
-        self.settle(Vec::new())
+        self.with_members(Vec::new())
     }
 
-    /// Returns where the nodes are reached that have not been dropped, those
-    /// that are leaving included.
+    /// Returns the peer addresses of all other known nodes that have not been
+    /// dropped, including nodes that are leaving.
     #[must_use]
     pub fn addresses(&self) -> Vec<(id::Node, String)> {
         let mut addresses = Vec::new();
@@ -260,12 +275,13 @@
         addresses
     }
 
-    /// Returns the nodes that are live, this one included unless it leaves.
+    /// Returns the live nodes, without those that the host list marks as
+    /// leaving; the local node is included unless it is leaving.
     #[must_use]
     pub fn members(&self) -> Vec<Member> {
         let mut members = Vec::new();
-        if self.own.state == State::Alive {
-            members.push(self.own.clone());
+        if self.local.state == State::Alive {
+            members.push(self.local.clone());
         }
         for record in self.table.records() {
             if record.member.is_live() && !self.is_leaving(&record.member.node) {
@@ -275,15 +291,15 @@
         members
     }
 
-    /// Returns this node's word on itself.
+    /// Returns the local node.
     #[must_use]
-    pub fn own(&self) -> &Member {
-        &self.own
+    pub fn local(&self) -> &Member {
+        &self.local
     }
 
-    /// Returns what is known of another node.
+    /// Returns what is known about another node.
     #[must_use]
-    pub fn known(&self, node: &id::Node) -> Option<&Member> {
+    pub fn member(&self, node: &id::Node) -> Option<&Member> {
         Some(&self.table.get(node)?.member)
     }
 
@@ -299,16 +315,17 @@
             .is_some_and(|host| host.standing == endpoint::Standing::Leaving)
     }
 
-    /// Gives every running suspicion its full time again if this process was
-    /// stopped for a while, since it could not hear any refutation.
-    fn notice_pause(&mut self, now: Instant) {
-        let gap = now.since(self.ticked);
-        self.ticked = now;
+    /// Restarts the timeout of every suspicion if this process was paused,
+    /// because it could not receive refutations in that time. After a pause of
+    /// the retention time all records are discarded.
+    fn detect_pause(&mut self, now: Instant) {
+        let gap = now.since(self.last_tick);
+        self.last_tick = now;
         if gap >= self.settings.retention {
             self.table.clear();
-            self.changed = true;
+            self.members_changed = true;
         }
-        if gap > self.settings.period * PAUSE_PERIODS {
+        if gap > self.settings.period * PAUSE_THRESHOLD_PERIODS {
             self.table.restart_suspicions(now);
             self.pending.clear();
         }
@@ -316,19 +333,25 @@
 
     fn expire(&mut self, now: Instant) {
         let doublings = gossip::doublings(self.table.len());
-        let span = self.settings.suspicion + self.settings.suspicion_step * doublings;
-        let dropped = self.table.drop_suspects(now, span);
-        self.changed |= dropped > 0;
-        self.table.forget(now, self.settings.retention);
+        let timeout = self.settings.suspicion + self.settings.suspicion_step * doublings;
+        let dropped = self.table.drop_expired_suspects(now, timeout);
+        self.members_changed |= dropped > 0;
+        self.table.remove_expired(now, self.settings.retention);
         let fingerprints = &mut self.fingerprints;
         fingerprints.retain(|_, until| *until > now);
-        let limit = self.settings.period * PENDING_PERIODS;
+        let limit = self.settings.period * EXCHANGE_TIMEOUT_PERIODS;
         self.pending
             .retain(|_, started| now.since(*started) < limit);
     }
 
-    fn exchange(&mut self, now: Instant, node: id::Node, address: String, whole: bool) -> Effect {
-        let beat = self.beat(now, &node, whole);
+    fn exchange(
+        &mut self,
+        now: Instant,
+        node: id::Node,
+        address: String,
+        full_state: bool,
+    ) -> Effect {
+        let beat = self.build_beat(now, &node, full_state);
         self.pending.insert(node.clone(), now);
         Effect::Exchange {
             node,
@@ -337,28 +360,28 @@
         }
     }
 
-    /// Builds a beat for a node; `whole` puts everything in that is known.
-    fn beat(&mut self, now: Instant, to: &id::Node, whole: bool) -> Beat {
+    /// Builds a heartbeat for a node, with the full state or with queued updates.
+    fn build_beat(&mut self, now: Instant, to: &id::Node, full_state: bool) -> Beat {
         let nodes = self.table.len() + 1;
-        let topics = self.gossip.take(self.settings.updates, nodes);
+        let updates = self.gossip.take(self.settings.max_updates, nodes);
         let mut members = Vec::new();
         let mut suspects = Vec::new();
-        for topic in topics {
-            match topic {
-                Topic::Member(node) => members.extend(self.update_on(&node, to, whole)),
-                Topic::Fingerprint(fingerprint) if !whole => {
-                    suspects.extend(self.fingerprint(now, fingerprint));
+        for update in updates {
+            match update {
+                Update::Member(node) => members.extend(self.member_update(&node, to, full_state)),
+                Update::Fingerprint(fingerprint) if !full_state => {
+                    suspects.extend(self.fingerprint_update(now, fingerprint));
                 }
-                Topic::Fingerprint(_) => {}
+                Update::Fingerprint(_) => {}
             }
         }
-        if whole {
-            self.resynced = now;
+        if full_state {
+            self.last_resync = now;
             for record in self.table.records() {
                 members.push(record.member.clone());
             }
             for fingerprint in self.fingerprints.keys() {
-                suspects.extend(self.fingerprint(now, *fingerprint));
+                suspects.extend(self.fingerprint_update(now, *fingerprint));
             }
         } else if let Some(record) = self.table.get(to)
             && record.member.state != State::Alive
@@ -367,24 +390,26 @@
         }
         members.extend(self.disputed.remove(to));
         Beat {
-            sender: self.own.clone(),
+            sender: self.local.clone(),
             generation: self.generation,
-            digest: self.table.digest(&self.own),
-            whole,
+            digest: self.table.digest(&self.local),
+            whole: full_state,
             members,
             suspects,
         }
     }
 
-    /// Returns the update on a node for one beat, unless it goes in anyway.
-    fn update_on(&self, node: &id::Node, to: &id::Node, whole: bool) -> Option<Member> {
-        if whole || node == to {
+    /// Returns the update about a node for a heartbeat, or none if the
+    /// heartbeat contains the full state or goes to that node.
+    fn member_update(&self, node: &id::Node, to: &id::Node, full_state: bool) -> Option<Member> {
+        if full_state || node == to {
             return None;
         }
         Some(self.table.get(node)?.member.clone())
     }
 
-    fn fingerprint(
+    /// Returns a fingerprint with its remaining validity.
+    fn fingerprint_update(
         &self,
         now: Instant,
         fingerprint: id::Fingerprint,
@@ -393,20 +418,21 @@
         Some((fingerprint, until.since(now)))
     }
 
-    /// Adds the members if they have changed since they were last announced.
-    fn settle(&mut self, mut effects: Vec<Effect>) -> Vec<Effect> {
-        if !std::mem::take(&mut self.changed) {
+    /// Appends [`Effect::Members`] if the live members have changed since they
+    /// were last announced.
+    fn with_members(&mut self, mut effects: Vec<Effect>) -> Vec<Effect> {
+        if !std::mem::take(&mut self.members_changed) {
             return effects;
         }
         let members = self.members();
         let mut announced = members.clone();
         for member in &mut announced {
-            // Neither a suspicion nor its refutation changes who is live.
+            // Suspicions and their refutations do not change the set of live nodes.
             member.state = State::Alive;
             member.version = 0;
         }
-        if self.announced.as_ref() != Some(&announced) {
-            self.announced = Some(announced);
+        if self.last_announced.as_ref() != Some(&announced) {
+            self.last_announced = Some(announced);
             effects.push(Effect::Members(members));
         }
         effects
--- a/lib/src/membership/beat.rs
+++ b/lib/src/membership/beat.rs
@@ -1,4 +1,4 @@
-//! What two nodes tell each other in one exchange.
+//! Messages that two nodes exchange.
 
 use std::time::Duration;
 
@@ -6,49 +6,49 @@
 
 use crate::id;
 
-/// What a node is said to be.
+/// State of a node.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum State {
-    /// It takes part.
+    /// The node takes part.
     #[display("alive")]
     Alive,
-    /// It did not answer; it is dropped unless it refutes in time.
+    /// The node did not answer; it is dropped unless it refutes in time.
     #[display("suspect")]
     Suspect,
-    /// It did not refute in time.
+    /// The node did not refute the suspicion in time.
     #[display("dropped")]
     Dropped,
-    /// It has said that it is shutting down.
+    /// The node has announced that it is shutting down.
     #[display("left")]
     Left,
 }
 
-/// What is known of one node.
+/// Identity and state of one node.
 ///
-/// Of two statements on a node the one with the higher incarnation holds,
-/// then the one with the higher version, then the later state. Only the node
-/// itself raises its incarnation and its version.
+/// Of two records of the same node, the one with the higher incarnation wins,
+/// then the one with the higher version, then the one whose state comes later in
+/// [`State`]. Only the node itself raises its incarnation and its version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its name.
+    /// Name of the node.
     pub node: id::Node,
-    /// Its data centre.
+    /// Data centre of the node.
     pub data_centre: id::DataCentre,
-    /// Where peers reach it, `ip:port`.
+    /// Peer address of the node, `ip:port`.
     pub address: String,
-    /// Differs between two processes of the node; the later is higher.
+    /// Identifies the process of the node; a later process has a higher value.
     pub incarnation: u64,
-    /// Raised by the node to refute what is said of it.
+    /// Raised by the node to refute a suspicion or a drop.
     pub version: u32,
-    /// What it is said to be.
+    /// State of the node.
     pub state: State,
 }
 
 impl Member {
-    /// Returns whether this statement replaces the other one on the same node.
+    /// Returns whether this record supersedes another one of the same node.
     #[must_use]
-    pub fn replaces(&self, other: &Self) -> bool {
-        self.rank() > other.rank()
+    pub fn supersedes(&self, other: &Self) -> bool {
+        self.precedence() > other.precedence()
     }
 
     /// Returns whether the node counts as live.
@@ -57,24 +57,25 @@
         matches!(self.state, State::Alive | State::Suspect)
     }
 
-    fn rank(&self) -> (u64, u32, State) {
+    fn precedence(&self) -> (u64, u32, State) {
         (self.incarnation, self.version, self.state)
     }
 }
 
-/// One message of an exchange.
+/// A heartbeat: the request or the answer of an exchange.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Beat {
-    /// The sender's word on itself.
+    /// The sender.
     pub sender: Member,
-    /// The generation that it has in force.
+    /// Configuration generation that the sender has in force.
     pub generation: id::Generation,
-    /// Hash over the live members that it knows.
+    /// Hash over the alive nodes that the sender knows, itself included; a
+    /// receiver that computes another value may answer with its full state.
     pub digest: u64,
-    /// Whether `members` holds everything that it knows.
+    /// Whether `members` is the full state of the sender.
     pub whole: bool,
-    /// News of other nodes.
+    /// Updates about other nodes.
     pub members: Vec<Member>,
-    /// Fingerprints of crashing requests, with the time that they hold on.
+    /// Fingerprints of crashing requests, with their remaining validity.
     pub suspects: Vec<(id::Fingerprint, Duration)>,
 }
--- a/lib/src/membership/gossip.rs
+++ b/lib/src/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! Which updates are still to be passed on.
+//! Queue of the updates that are still to be gossiped.
 
 use std::collections::BTreeMap;
 
@@ -7,66 +7,68 @@
 /// Times that an update is sent, per doubling of the number of nodes.
 const SENDS_PER_DOUBLING: u32 = 2;
 
-/// What an update is about.
+/// An update to gossip, by its subject; the content is looked up on sending.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Topic {
-    /// A node.
+pub enum Update {
+    /// The state of a node.
     Member(id::Node),
-    /// A crashing request.
+    /// The fingerprint of a crashing request.
     Fingerprint(id::Fingerprint),
 }
 
-/// Updates with the number of times that each was sent.
+/// Queued updates with the number of times that each was sent.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
-    sent: BTreeMap<Topic, u32>,
+    sends: BTreeMap<Update, u32>,
 }
 
 impl Queue {
-    /// Queues an update; one that is queued already starts anew.
-    pub fn push(&mut self, topic: Topic) {
-        self.sent.insert(topic, 0);
+    /// Queues an update; the count of one that is queued already is reset.
+    pub fn push(&mut self, update: Update) {
+        self.sends.insert(update, 0);
     }
 
-    /// Returns whether nothing is left to be passed on.
+    /// Returns whether no update is queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.sent.is_empty()
+        self.sends.is_empty()
     }
 
-    /// Returns up to `limit` updates, those sent least often first, and counts
-    /// them as sent once more to one of `nodes` nodes.
-    pub fn take(&mut self, limit: usize, nodes: usize) -> Vec<Topic> {
+    /// Returns up to `limit` updates, least often sent first, and counts one more
+    /// send of each. Updates that were sent often enough for `nodes` nodes are
+    /// removed.
+    pub fn take(&mut self, limit: usize, nodes: usize) -> Vec<Update> {
         let mut order = Vec::new();
-        for (topic, sent) in &self.sent {
-            order.push((*sent, topic));
+        for (update, sent) in &self.sends {
+            order.push((*sent, update));
         }
         order.sort_unstable();
         order.truncate(limit);
         let mut taken = Vec::new();
-        for (_, topic) in order {
-            taken.push(topic.clone());
+        for (_, update) in order {
+            taken.push(update.clone());
         }
-        let bound = bound(nodes);
-        for topic in &taken {
-            let Some(sent) = self.sent.get_mut(topic) else {
+        let max_sends = max_sends(nodes);
+        for update in &taken {
+            let Some(sent) = self.sends.get_mut(update) else {
                 continue;
             };
             *sent += 1;
-            if *sent >= bound {
-                self.sent.remove(topic);
+            if *sent >= max_sends {
+                self.sends.remove(update);
             }
         }
         taken
     }
 }
 
-/// Returns how often an update is sent among so many nodes.
-fn bound(nodes: usize) -> u32 {
+/// Returns how often a node sends an update among `nodes` nodes.
+fn max_sends(nodes: usize) -> u32 {
     SENDS_PER_DOUBLING * (doublings(nodes) + 1)
 }
 
-/// Returns how often one node has to double to make up so many.
+/// Returns the number of bits of `nodes`, its rounded-down base-2 logarithm
+/// plus one; zero for zero.
 pub fn doublings(nodes: usize) -> u32 {
     usize::BITS - nodes.leading_zeros()
 }
--- a/lib/src/membership/choice.rs
+++ b/lib/src/membership/selection.rs
@@ -1,4 +1,4 @@
-//! Which peers the next exchanges go to.
+//! Selection of the peers for the next exchanges.
 
 use std::collections::BTreeMap;
 
@@ -6,12 +6,12 @@
 
 use crate::{id, membership::Membership};
 
-/// Doubted nodes that one node tries per round.
-const MAX_CONFIRMATIONS: usize = 4;
+/// Nodes in doubt that this node contacts per round.
+const MAX_PROBES_PER_ROUND: usize = 4;
 
 impl Membership {
-    /// Picks random live peers that no exchange is running with.
-    pub(super) fn choose(&mut self, count: usize) -> BTreeMap<id::Node, String> {
+    /// Chooses random live peers that no exchange is running with.
+    pub(super) fn choose_live(&mut self, count: usize) -> BTreeMap<id::Node, String> {
         let mut candidates = Vec::new();
         for record in self.table.records() {
             let member = &record.member;
@@ -19,13 +19,13 @@
                 candidates.push((&member.node, &member.address));
             }
         }
-        draw(&candidates, &mut self.rng, count)
+        sample(&candidates, &mut self.rng, count)
     }
 
-    /// Picks random nodes that this node has to try itself.
-    pub(super) fn choose_unverified(&mut self) -> BTreeMap<id::Node, String> {
+    /// Chooses random nodes that this node has to contact itself.
+    pub(super) fn choose_to_probe(&mut self) -> BTreeMap<id::Node, String> {
         let mut candidates = Vec::new();
-        for node in &self.confirm {
+        for node in &self.to_probe {
             let Some(record) = self.table.get(node) else {
                 continue;
             };
@@ -33,36 +33,36 @@
                 candidates.push((node, &record.member.address));
             }
         }
-        let drawn = draw(&candidates, &mut self.rng, MAX_CONFIRMATIONS);
-        for node in drawn.keys() {
-            self.confirm.remove(node);
+        let chosen = sample(&candidates, &mut self.rng, MAX_PROBES_PER_ROUND);
+        for node in chosen.keys() {
+            self.to_probe.remove(node);
         }
-        drawn
+        chosen
     }
 
-    /// Picks random hosts of the host list that are not live.
-    pub(super) fn choose_lost(&mut self, count: usize) -> BTreeMap<id::Node, String> {
+    /// Chooses random hosts of the host list that are not live.
+    pub(super) fn choose_unreachable_hosts(&mut self, count: usize) -> BTreeMap<id::Node, String> {
         let mut candidates = Vec::new();
         for host in self.hosts.values() {
             let busy = self.pending.contains_key(&host.node);
-            if host.node == self.own.node || busy || self.is_live(&host.node) {
+            if host.node == self.local.node || busy || self.is_live(&host.node) {
                 continue;
             }
             candidates.push((&host.node, &host.address));
         }
-        draw(&candidates, &mut self.rng, count)
+        sample(&candidates, &mut self.rng, count)
     }
 }
 
-/// Draws up to `count` of the candidates.
-fn draw(
+/// Samples up to `count` of the candidates.
+fn sample(
     candidates: &[(&id::Node, &String)],
     rng: &mut SmallRng,
     count: usize,
 ) -> BTreeMap<id::Node, String> {
-    let mut drawn = BTreeMap::new();
+    let mut chosen = BTreeMap::new();
     for (node, address) in candidates.choose_multiple(rng, count) {
-        drawn.insert((*node).clone(), (*address).clone());
+        chosen.insert((*node).clone(), (*address).clone());
     }
-    drawn
+    chosen
 }
--- a/lib/src/membership/table.rs
+++ b/lib/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the others.
+//! Table of the records of other nodes.
 
 use std::{
     collections::BTreeMap,
@@ -14,21 +14,21 @@
     time::Instant,
 };
 
-/// What is known of one other node.
+/// Record of another node.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// The statement that holds.
+    /// The current member record.
     pub member: Member,
-    /// Since when it holds.
+    /// When it became current.
     pub since: Instant,
 }
 
-/// Records by node.
+/// Records by node, with an incremental digest.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     records: BTreeMap<id::Node, Record>,
-    /// Hash over the nodes said to be alive.
-    alive: u64,
+    /// XOR of the hashes of the alive nodes.
+    alive_digest: u64,
 }
 
 impl Table {
@@ -49,11 +49,11 @@
         self.records.values()
     }
 
-    /// Takes a statement in if it replaces what is known, and returns whether
+    /// Stores a member if it supersedes the current record, and returns whether
     /// it did.
     pub fn merge(&mut self, now: Instant, member: &Member) -> bool {
         if let Some(record) = self.records.get(&member.node)
-            && !member.replaces(&record.member)
+            && !member.supersedes(&record.member)
         {
             return false;
         }
@@ -61,20 +61,20 @@
             member: member.clone(),
             since: now,
         };
-        let before = self.records.insert(member.node.clone(), record);
-        if let Some(before) = before {
-            self.alive ^= share(&before.member);
+        let previous = self.records.insert(member.node.clone(), record);
+        if let Some(previous) = previous {
+            self.alive_digest ^= digest_part(&previous.member);
         }
-        self.alive ^= share(member);
+        self.alive_digest ^= digest_part(member);
         true
     }
 
-    /// Drops the nodes that have been suspected for `span`, and returns how
+    /// Drops the nodes that have been suspects for `timeout`, and returns how
     /// many.
-    pub fn drop_suspects(&mut self, now: Instant, span: Duration) -> usize {
+    pub fn drop_expired_suspects(&mut self, now: Instant, timeout: Duration) -> usize {
         let mut dropped = 0;
         for record in self.records.values_mut() {
-            if record.member.state != State::Suspect || now.since(record.since) < span {
+            if record.member.state != State::Suspect || now.since(record.since) < timeout {
                 continue;
             }
             record.member.state = State::Dropped;
@@ -84,7 +84,7 @@
         dropped
     }
 
-    /// Starts the time of every suspicion anew.
+    /// Restarts the timeout of every suspicion.
     pub fn restart_suspicions(&mut self, now: Instant) {
         for record in self.records.values_mut() {
             if record.member.state == State::Suspect {
@@ -93,35 +93,36 @@
         }
     }
 
-    /// Forgets the nodes that have not been live for `span`.
-    pub fn forget(&mut self, now: Instant, span: Duration) {
+    /// Removes the nodes that have not been live for `retention`.
+    pub fn remove_expired(&mut self, now: Instant, retention: Duration) {
         self.records
-            .retain(|_, record| record.member.is_live() || now.since(record.since) < span);
+            .retain(|_, record| record.member.is_live() || now.since(record.since) < retention);
     }
 
-    /// Forgets everything.
+    /// Removes all records.
     pub fn clear(&mut self) {
         self.records.clear();
-        self.alive = 0;
+        self.alive_digest = 0;
     }
 
-    /// Returns a hash over the nodes said to be alive, `own` included, that
-    /// does not depend on their order.
+    /// Returns a hash over the alive nodes and `local`, independent of their
+    /// order.
     #[must_use]
-    pub fn digest(&self, own: &Member) -> u64 {
-        hash(own) ^ self.alive
+    pub fn digest(&self, local: &Member) -> u64 {
+        hash(local) ^ self.alive_digest
     }
 }
 
-/// Returns what a statement adds to the hash over the nodes said to be alive.
-fn share(member: &Member) -> u64 {
+/// Returns the contribution of a member to the digest; zero unless it is alive.
+fn digest_part(member: &Member) -> u64 {
     match member.state {
         State::Alive => hash(member),
         State::Suspect | State::Dropped | State::Left => 0,
     }
 }
 
-/// Hashes what a node says of itself.
+/// Hashes the fields that only the node itself sets: name, incarnation and
+/// version.
 fn hash(member: &Member) -> u64 {
     let mut hasher = Xxh3::new();
     member.node.hash(&mut hasher);
--- a/lib/tests/fleet/mod.rs
+++ b/lib/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Memberships on a virtual clock and a network that loses, delays,
-//! duplicates and reorders beats, all drawn from one seed.
+//! Simulates memberships on a virtual clock and on a network that loses, delays,
+//! duplicates and reorders heartbeats. One seed determines the whole run.
 
 #![allow(dead_code, reason = "each program uses a part")]
 
@@ -23,28 +23,28 @@
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-/// Time after which an exchange without an answer has failed: a silent
-/// connection, then a new one.
+/// Timeout of an exchange without an answer: one attempt on a connection that
+/// stays silent and one on a new connection.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Time to fetch a configuration.
-const FETCH_TIME: Duration = Duration::from_millis(20);
-/// Longest delay of a late beat.
-const LATE: Duration = Duration::from_secs(3);
-/// Time between two looks at whether all nodes agree.
-const STEP: Duration = Duration::from_millis(100);
+const FETCH_DELAY: Duration = Duration::from_millis(20);
+/// Maximum additional delay of a late heartbeat.
+const MAX_LATE_DELAY: Duration = Duration::from_secs(3);
+/// Interval between two checks of a condition in [`Fleet::run_until`].
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Start of the virtual clock.
-const ORIGIN: Duration = Duration::from_hours(1);
+const CLOCK_START: Duration = Duration::from_hours(1);
 
-/// How the network treats a beat.
+/// Behaviour of the network towards heartbeats.
 #[derive(Clone, Debug)]
 pub struct Network {
-    /// Chance that it is lost.
+    /// Probability that a heartbeat is lost.
     pub loss: f64,
-    /// Chance that it arrives twice.
+    /// Probability that it arrives twice.
     pub duplicate: f64,
-    /// Chance that it is late by up to three seconds.
+    /// Probability that it is late by up to three seconds.
     pub late: f64,
-    /// Ordinary delay, milliseconds.
+    /// Normal delay in milliseconds.
     pub delay: Range<u64>,
 }
 
@@ -59,18 +59,18 @@
     }
 }
 
-/// What has been counted.
+/// Counters of a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// Exchanges begun.
+    /// Exchanges that were started.
     pub exchanges: u64,
-    /// Bytes of beats, as the meter counts them.
+    /// Bytes of heartbeats, according to the size function of the fleet.
     pub bytes: u64,
     /// Times that a node dropped a process that was running.
     pub false_drops: u64,
 }
 
-/// Something that happens at a moment.
+/// Event on the virtual clock.
 #[derive(Clone, Debug)]
 enum Event {
     Tick,
@@ -91,7 +91,7 @@
     Fetched(id::Generation),
 }
 
-/// A moment, its order among equals, the process concerned and the event.
+/// Scheduled event of a process; `order` breaks ties between equal times.
 struct Entry {
     at: Instant,
     order: u64,
@@ -125,17 +125,22 @@
     membership: Membership,
     address: String,
     generation: id::Generation,
-    listing: u64,
+    /// Version of the host list that the process has read.
+    host_list_version: u64,
     paused: bool,
     leaving: bool,
+    /// Events that arrived while the process was paused.
     backlog: Vec<Event>,
-    open: BTreeSet<u64>,
+    /// Exchanges without an answer so far.
+    pending: BTreeSet<u64>,
+    /// Incarnations of the nodes that the process sees as live.
     live: BTreeMap<id::Node, u64>,
+    /// Nodes that left, with the incarnation that did.
     left: BTreeSet<(id::Node, u64)>,
     fingerprints: Vec<(id::Fingerprint, Duration)>,
 }
 
-/// One host and the process on it.
+/// One host and the process that runs on it; `epoch` counts its processes.
 struct Node {
     name: id::Node,
     data_centre: id::DataCentre,
@@ -143,24 +148,25 @@
     process: Option<Process>,
 }
 
-/// Nodes on a virtual clock.
+/// Simulated nodes on a virtual clock.
 pub struct Fleet {
-    /// Treatment of beats.
+    /// Behaviour of the network.
     pub network: Network,
-    /// What has been counted.
+    /// Counters of the run.
     pub counts: Counts,
     settings: Settings,
-    meter: fn(&Beat) -> usize,
+    beat_size: fn(&Beat) -> usize,
     now: Instant,
     order: u64,
-    exchange: u64,
+    last_exchange: u64,
     queue: BinaryHeap<Reverse<Entry>>,
     nodes: Vec<Node>,
     names: BTreeMap<id::Node, usize>,
     addresses: BTreeMap<String, usize>,
     hosts: Vec<Host>,
-    listing: u64,
-    cut: BTreeSet<id::DataCentre>,
+    host_list_version: u64,
+    /// Data centres that are cut off from the others.
+    partitioned: BTreeSet<id::DataCentre>,
     rng: SmallRng,
 }
 
@@ -174,23 +180,23 @@
         fleet
     }
 
-    /// Builds a fleet without nodes; `meter` returns the bytes of a beat.
-    pub fn empty(settings: Settings, seed: u64, meter: fn(&Beat) -> usize) -> Self {
+    /// Creates a fleet without nodes; `beat_size` returns the bytes of a heartbeat.
+    pub fn empty(settings: Settings, seed: u64, beat_size: fn(&Beat) -> usize) -> Self {
         Self {
             network: Network::default(),
             counts: Counts::default(),
             settings,
-            meter,
-            now: Instant::default() + ORIGIN,
+            beat_size,
+            now: Instant::default() + CLOCK_START,
             order: 0,
-            exchange: 0,
+            last_exchange: 0,
             queue: BinaryHeap::new(),
             nodes: Vec::new(),
             names: BTreeMap::new(),
             addresses: BTreeMap::new(),
             hosts: Vec::new(),
-            listing: 0,
-            cut: BTreeSet::new(),
+            host_list_version: 0,
+            partitioned: BTreeSet::new(),
             rng: SmallRng::seed_from_u64(seed),
         }
     }
@@ -206,14 +212,14 @@
         self.restart(self.nodes.len() - 1, true);
     }
 
-    /// Starts a process on a host, in place of the one that runs; the host
-    /// list names it if `listed`.
+    /// Starts a new process on a host, replacing a running one. The host list
+    /// gets its address if `listed`.
     pub fn restart(&mut self, node: usize, listed: bool) {
         let host = &mut self.nodes[node];
         host.epoch += 1;
         let incarnation = self.now.as_micros() / 1000;
         let address = format!("{}#{}", host.name, host.epoch);
-        let own = Member {
+        let local = Member {
             node: host.name.clone(),
             data_centre: host.data_centre.clone(),
             address: address.clone(),
@@ -223,14 +229,14 @@
         };
         let seed = self.rng.random();
         host.process = Some(Process {
-            membership: Membership::new(self.settings.clone(), own, self.now, seed),
+            membership: Membership::new(self.settings.clone(), local, self.now, seed),
             address: address.clone(),
             generation: id::Generation::default(),
-            listing: 0,
+            host_list_version: 0,
             paused: false,
             leaving: false,
             backlog: Vec::new(),
-            open: BTreeSet::new(),
+            pending: BTreeSet::new(),
             live: BTreeMap::new(),
             left: BTreeSet::new(),
             fingerprints: Vec::new(),
@@ -239,30 +245,30 @@
         self.addresses.insert(address.clone(), node);
         self.names.insert(self.nodes[node].name.clone(), node);
         if listed {
-            self.list(node, address);
+            self.update_host_list(node, address);
         }
         let delay = self.jitter();
         self.schedule(delay, node, Event::Tick);
     }
 
-    /// Ends the host list's lag: it names every process that runs.
-    pub fn catch_up(&mut self) {
+    /// Brings the host list up to date with every running process.
+    pub fn refresh_host_list(&mut self) {
         for node in 0..self.nodes.len() {
             let Some(process) = &self.nodes[node].process else {
                 continue;
             };
             let address = process.address.clone();
-            self.list(node, address);
+            self.update_host_list(node, address);
         }
     }
 
-    /// Kills a process without a word.
+    /// Kills a process without notice to its peers.
     pub fn kill(&mut self, node: usize) {
         self.nodes[node].process = None;
         self.nodes[node].epoch += 1;
     }
 
-    /// Lets a process say that it shuts down; kill it later.
+    /// Makes a process announce that it is shutting down; [`Fleet::kill`] ends it.
     pub fn leave(&mut self, node: usize) {
         let now = self.now;
         let Some(process) = &mut self.nodes[node].process else {
@@ -273,14 +279,14 @@
         self.perform(node, effects);
     }
 
-    /// Stops a process without ending it.
+    /// Pauses a process; its events are queued.
     pub fn pause(&mut self, node: usize) {
         if let Some(process) = &mut self.nodes[node].process {
             process.paused = true;
         }
     }
 
-    /// Lets a stopped process go on with what has arrived.
+    /// Resumes a paused process, which then handles the queued events.
     pub fn resume(&mut self, node: usize) {
         let Some(process) = &mut self.nodes[node].process else {
             return;
@@ -291,12 +297,13 @@
         }
     }
 
-    /// Cuts data centres off from the others.
+    /// Partitions the network: the given data centres reach each other but none of
+    /// the others. An empty list ends the partition.
     pub fn cut(&mut self, data_centres: &[&str]) {
-        self.cut = data_centres.iter().map(|name| (*name).into()).collect();
+        self.partitioned = data_centres.iter().map(|name| (*name).into()).collect();
     }
 
-    /// Puts a generation in force at one node.
+    /// Puts a configuration generation in force at one node.
     pub fn configure(&mut self, node: usize, generation: u64) {
         if let Some(process) = &mut self.nodes[node].process {
             process.generation = id::Generation(generation);
@@ -304,7 +311,7 @@
         }
     }
 
-    /// Passes on a fingerprint from one node.
+    /// Gossips a fingerprint of a crashing request from one node.
     pub fn quarantine(&mut self, node: usize, fingerprint: u64, valid: Duration) {
         let now = self.now;
         if let Some(process) = &mut self.nodes[node].process {
@@ -313,7 +320,7 @@
         }
     }
 
-    /// Returns how many hosts there are.
+    /// Returns the number of hosts.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
@@ -324,7 +331,7 @@
         process.is_some_and(|process| !process.leaving)
     }
 
-    /// Returns whether the process on a host is stopped.
+    /// Returns whether the process on a host is paused.
     pub fn is_paused(&self, node: usize) -> bool {
         let process = self.nodes[node].process.as_ref();
         process.is_some_and(|process| process.paused)
@@ -335,7 +342,7 @@
         self.rng.random_range(0..bound)
     }
 
-    /// Lets time go on.
+    /// Advances the virtual clock and handles the events that become due.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self
@@ -354,8 +361,8 @@
         self.now = end;
     }
 
-    /// Lets time go on until `reached`, and returns how long it took; none
-    /// if it took longer than `limit`.
+    /// Advances the virtual clock until `reached` and returns the elapsed time,
+    /// or none if `limit` elapsed first.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -366,18 +373,18 @@
             if self.now.since(start) >= limit {
                 return None;
             }
-            self.run(STEP);
+            self.run(CHECK_INTERVAL);
         }
         Some(self.now.since(start))
     }
 
-    /// Returns whether every running node sees exactly those live that run
-    /// on its side of the cut.
+    /// Returns whether the live nodes that every running node sees are exactly
+    /// the running nodes on its side of the partition.
     pub fn agrees(&self) -> bool {
         (0..self.nodes.len()).all(|node| self.disagreement(node).is_none())
     }
 
-    /// Describes what a node sees wrongly.
+    /// Describes how the live nodes that a node sees differ from the expected ones.
     pub fn disagreement(&self, node: usize) -> Option<String> {
         let host = &self.nodes[node];
         let process = host.process.as_ref()?;
@@ -396,14 +403,14 @@
             return None;
         }
         let missing: Vec<_> = expected.difference(&seen).collect();
-        let excess: Vec<_> = seen.difference(&expected).collect();
+        let unexpected: Vec<_> = seen.difference(&expected).collect();
         Some(format!(
-            "{}: missing {missing:?}, excess {excess:?}",
+            "{}: missing {missing:?}, unexpected {unexpected:?}",
             host.name
         ))
     }
 
-    /// Returns whether no running node sees this one live.
+    /// Returns whether no running node sees this node as live.
     pub fn is_dropped(&self, node: usize) -> bool {
         let name = &self.nodes[node].name;
         for other in &self.nodes {
@@ -431,7 +438,7 @@
         true
     }
 
-    /// Returns whether every running node but the source knows a fingerprint.
+    /// Returns whether every running node except the source knows a fingerprint.
     pub fn is_quarantined(&self, source: usize, fingerprint: u64) -> bool {
         for (index, node) in self.nodes.iter().enumerate() {
             let Some(process) = &node.process else {
@@ -446,10 +453,11 @@
     }
 
     fn connected(&self, from: &id::DataCentre, to: &id::DataCentre) -> bool {
-        self.cut.contains(from) == self.cut.contains(to)
+        self.partitioned.contains(from) == self.partitioned.contains(to)
     }
 
-    fn list(&mut self, node: usize, address: String) {
+    /// Sets the address of a node in the host list.
+    fn update_host_list(&mut self, node: usize, address: String) {
         let name = self.nodes[node].name.clone();
         self.hosts.retain(|host| host.node != name);
         self.hosts.push(Host {
@@ -457,7 +465,7 @@
             address,
             standing: Standing::Live,
         });
-        self.listing += 1;
+        self.host_list_version += 1;
     }
 
     fn jitter(&mut self) -> Duration {
@@ -476,7 +484,7 @@
         }));
     }
 
-    /// Sends an event over the network, to the process that runs now.
+    /// Sends an event over the network to the process that runs now.
     fn send(&mut self, from: usize, to: usize, event: &Event) {
         let from = self.nodes[from].data_centre.clone();
         let to_centre = self.nodes[to].data_centre.clone();
@@ -488,7 +496,7 @@
             let mut delay =
                 Duration::from_millis(self.rng.random_range(self.network.delay.clone()));
             if self.rng.random_bool(self.network.late) {
-                delay += LATE.mul_f64(self.rng.random());
+                delay += MAX_LATE_DELAY.mul_f64(self.rng.random());
             }
             self.schedule(delay, to, event.clone());
         }
@@ -506,8 +514,8 @@
         let effects = match event {
             Event::Tick => {
                 let mut effects = Vec::new();
-                if process.listing != self.listing {
-                    process.listing = self.listing;
+                if process.host_list_version != self.host_list_version {
+                    process.host_list_version = self.host_list_version;
                     effects = process.membership.listed(self.hosts.clone());
                 }
                 effects.extend(process.membership.tick(now));
@@ -522,18 +530,18 @@
                 beat,
             } => {
                 let (beat, effects) = process.membership.request(now, &beat);
-                self.counts.bytes += (self.meter)(&beat) as u64;
+                self.counts.bytes += (self.beat_size)(&beat) as u64;
                 if self.nodes[from].epoch == from_epoch {
                     self.send(node, from, &Event::Answer { exchange, beat });
                 }
                 effects
             }
             Event::Answer { exchange, beat } => {
-                process.open.remove(&exchange);
+                process.pending.remove(&exchange);
                 process.membership.answered(now, &beat)
             }
             Event::Timeout { exchange, peer } => {
-                if !process.open.remove(&exchange) {
+                if !process.pending.remove(&exchange) {
                     return;
                 }
                 process.membership.failed(now, &peer)
@@ -555,9 +563,9 @@
                     address,
                     beat,
                 } => self.exchange(node, peer, &address, beat),
-                Effect::Members(members) => self.publish(node, &members),
+                Effect::Members(members) => self.record_members(node, &members),
                 Effect::Outdated(_, generation) => {
-                    self.schedule(FETCH_TIME, node, Event::Fetched(generation));
+                    self.schedule(FETCH_DELAY, node, Event::Fetched(generation));
                 }
                 Effect::Suspected(fingerprints) => {
                     if let Some(process) = &mut self.nodes[node].process {
@@ -570,12 +578,12 @@
 
     fn exchange(&mut self, node: usize, peer: id::Node, address: &str, beat: Beat) {
         self.counts.exchanges += 1;
-        self.counts.bytes += (self.meter)(&beat) as u64;
-        self.exchange += 1;
-        let exchange = self.exchange;
+        self.counts.bytes += (self.beat_size)(&beat) as u64;
+        self.last_exchange += 1;
+        let exchange = self.last_exchange;
         let from_epoch = self.nodes[node].epoch;
         if let Some(process) = &mut self.nodes[node].process {
-            process.open.insert(exchange);
+            process.pending.insert(exchange);
         }
         self.schedule(EXCHANGE_TIMEOUT, node, Event::Timeout { exchange, peer });
         if let Some(to) = self.addresses.get(address).copied()
@@ -591,9 +599,9 @@
         }
     }
 
-    /// Takes the members that a node sees and checks them against what it
-    /// saw before.
-    fn publish(&mut self, node: usize, members: &[Member]) {
+    /// Records the live nodes that a node sees and checks them against those it
+    /// saw before: incarnations never decrease, and a node that left stays away.
+    fn record_members(&mut self, node: usize, members: &[Member]) {
         let mut live = BTreeMap::new();
         for member in members {
             live.insert(member.node.clone(), member.incarnation);
@@ -618,15 +626,15 @@
             let before = observer.live.get(name).copied().unwrap_or(0);
             assert!(
                 *incarnation >= before,
-                "{name} went back from incarnation {before} to {incarnation}"
+                "{name} regressed from incarnation {before} to {incarnation}"
             );
             assert!(
                 !observer.left.contains(&(name.clone(), *incarnation)),
-                "{name} came back after it had left"
+                "{name} reappeared as live after it had left"
             );
         }
         for name in observer.live.keys() {
-            let Some(member) = observer.membership.known(name) else {
+            let Some(member) = observer.membership.member(name) else {
                 continue;
             };
             if member.state == State::Left {
--- a/lib/tests/fleet/scenario.rs
+++ b/lib/tests/fleet/scenario.rs
@@ -1,4 +1,4 @@
-//! Random faults drawn from a seed, and what must hold after them.
+//! Scenario with random faults drawn from a seed, and the checks after them.
 
 use std::time::Duration;
 
@@ -6,36 +6,36 @@
 
 use super::{Fleet, Network};
 
-/// Faults of one run.
-const FAULTS: usize = 40;
-/// Longest time between two faults, milliseconds.
+/// Number of faults per run.
+const FAULT_COUNT: usize = 40;
+/// Maximum time between two faults, in milliseconds.
 const MAX_GAP_MS: usize = 3000;
-/// Time for all nodes to agree once the faults are over.
+/// Time limit for all nodes to agree once the faults have ended.
 pub const AGREE_LIMIT: Duration = Duration::from_secs(30);
-/// Time for a killed node to be dropped everywhere, 16 periods.
+/// Time limit for a killed node to be dropped everywhere, 16 periods.
 pub const DROP_LIMIT: Duration = Duration::from_secs(8);
-/// Time for a leaving node to be dropped everywhere, six periods.
+/// Time limit for a leaving node to be dropped everywhere, six periods.
 pub const LEAVE_LIMIT: Duration = Duration::from_secs(3);
-/// Time for a generation and a fingerprint to reach every node.
-pub const NEWS_LIMIT: Duration = Duration::from_secs(3);
-/// Time for late beats to arrive and for suspicions to end that were raised
-/// during the faults: three seconds each.
-const RESIDUE: Duration = Duration::from_secs(6);
+/// Time limit for a generation and a fingerprint to reach every node.
+pub const DISSEMINATION_LIMIT: Duration = Duration::from_secs(3);
+/// Time for late heartbeats of the faults to arrive and for the suspicions raised
+/// during the faults to end: three seconds each.
+const SETTLE_TIME: Duration = Duration::from_secs(6);
 /// Time that agreement has to last.
-const CALM: Duration = Duration::from_mins(1);
+const STABLE_TIME: Duration = Duration::from_mins(1);
 /// Validity of fingerprints.
-const VALIDITY: Duration = Duration::from_mins(2);
+const FINGERPRINT_VALIDITY: Duration = Duration::from_mins(2);
 
-/// What one run has shown.
+/// Results of one run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Report {
-    /// Nodes of the run.
+    /// Number of nodes.
     pub nodes: usize,
     /// Time to agree after the faults.
     pub agreed: Duration,
     /// Time for a killed node to be dropped everywhere.
     pub dropped: Duration,
-    /// Time for its successor to be live everywhere.
+    /// Time for its replacement to be live everywhere.
     pub joined: Duration,
     /// Time for a generation to reach every node.
     pub configured: Duration,
@@ -43,20 +43,20 @@
     pub false_drops: u64,
 }
 
-/// Runs the faults of one seed and the checks after them.
+/// Runs the scenario of one seed.
 ///
 /// # Errors
 ///
-/// Fails with what did not hold.
+/// Fails with a description of the first check that failed.
 pub fn run(settings: Settings, seed: u64) -> Result<Report, String> {
     let mut fleet = Fleet::empty(settings, seed, |_| 0);
     let nodes = 3 + fleet.random(22);
     for index in 0..nodes {
         fleet.add(index);
     }
-    fleet.network = noise(&mut fleet);
-    for _ in 0..FAULTS {
-        disturb(&mut fleet);
+    fleet.network = random_network(&mut fleet);
+    for _ in 0..FAULT_COUNT {
+        inject_fault(&mut fleet);
         let gap = fleet.random(MAX_GAP_MS) as u64;
         fleet.run(Duration::from_millis(gap));
     }
@@ -65,47 +65,47 @@
         false_drops: fleet.counts.false_drops,
         ..Report::default()
     };
-    calm(&mut fleet);
-    report.agreed = agree(&mut fleet, "after the faults")?;
-    fleet.run(RESIDUE);
-    agree(&mut fleet, "once late beats and suspicions had ended")?;
-    keep(&mut fleet)?;
-    report.configured = spread(&mut fleet)?;
+    end_faults(&mut fleet);
+    report.agreed = await_agreement(&mut fleet, "after the faults")?;
+    fleet.run(SETTLE_TIME);
+    await_agreement(&mut fleet, "once late heartbeats and suspicions had ended")?;
+    check_stability(&mut fleet)?;
+    report.configured = check_dissemination(&mut fleet)?;
     let victim = fleet.random(nodes);
     fleet.kill(victim);
     report.dropped = fleet
         .run_until(DROP_LIMIT, |fleet| fleet.is_dropped(victim))
         .ok_or("a killed node was not dropped in time")?;
     fleet.restart(victim, true);
-    report.joined = agree(&mut fleet, "after a restart")?;
+    report.joined = await_agreement(&mut fleet, "after a restart")?;
     let leaver = fleet.random(nodes);
     fleet.leave(leaver);
     fleet
         .run_until(LEAVE_LIMIT, |fleet| fleet.is_dropped(leaver))
         .ok_or("a leaving node was not dropped in time")?;
     fleet.kill(leaver);
-    keep(&mut fleet)?;
+    check_stability(&mut fleet)?;
     Ok(report)
 }
 
-/// Draws how bad the network is.
-fn noise(fleet: &mut Fleet) -> Network {
+/// Draws the behaviour of the network.
+fn random_network(fleet: &mut Fleet) -> Network {
     Network {
-        loss: percent(fleet, 10),
-        duplicate: percent(fleet, 10),
-        late: percent(fleet, 5),
+        loss: random_probability(fleet, 10),
+        duplicate: random_probability(fleet, 10),
+        late: random_probability(fleet, 5),
         delay: 1..(2 + fleet.random(50) as u64),
     }
 }
 
-/// Draws a chance below `bound` percent.
-fn percent(fleet: &mut Fleet, bound: usize) -> f64 {
+/// Draws a probability below `bound` percent.
+fn random_probability(fleet: &mut Fleet, bound: usize) -> f64 {
     let drawn = u32::try_from(fleet.random(bound)).unwrap_or(u32::MAX);
     f64::from(drawn) / 100.0
 }
 
-/// Causes one random fault.
-fn disturb(fleet: &mut Fleet) {
+/// Injects one random fault.
+fn inject_fault(fleet: &mut Fleet) {
     let node = fleet.random(fleet.len());
     match fleet.random(9) {
         0 => fleet.kill(node),
@@ -124,8 +124,8 @@
     }
 }
 
-/// Ends every fault; hosts without a process get one.
-fn calm(fleet: &mut Fleet) {
+/// Ends every fault and starts a process on each host without one.
+fn end_faults(fleet: &mut Fleet) {
     fleet.cut(&[]);
     fleet.network = Network::default();
     for node in 0..fleet.len() {
@@ -134,27 +134,27 @@
             fleet.restart(node, true);
         }
     }
-    fleet.catch_up();
+    fleet.refresh_host_list();
 }
 
 /// Waits until all nodes agree.
-fn agree(fleet: &mut Fleet, when: &str) -> Result<Duration, String> {
+fn await_agreement(fleet: &mut Fleet, when: &str) -> Result<Duration, String> {
     if let Some(took) = fleet.run_until(AGREE_LIMIT, Fleet::agrees) {
         return Ok(took);
     }
-    let mut wrong = Vec::new();
+    let mut disagreements = Vec::new();
     for node in 0..fleet.len() {
-        wrong.extend(fleet.disagreement(node));
+        disagreements.extend(fleet.disagreement(node));
     }
-    Err(format!("no agreement {when}: {}", wrong.join("; ")))
+    Err(format!("no agreement {when}: {}", disagreements.join("; ")))
 }
 
-/// Checks that agreement lasts: nobody is dropped and nobody comes back.
-fn keep(fleet: &mut Fleet) -> Result<(), String> {
+/// Checks that agreement lasts and that no live node is dropped.
+fn check_stability(fleet: &mut Fleet) -> Result<(), String> {
     let before = fleet.counts.false_drops;
-    fleet.run(CALM);
+    fleet.run(STABLE_TIME);
     if fleet.counts.false_drops != before {
-        return Err("a live node was dropped while nothing was wrong".to_owned());
+        return Err("a live node was dropped without a fault".to_owned());
     }
     if !fleet.agrees() {
         return Err("agreement did not last".to_owned());
@@ -163,12 +163,12 @@
 }
 
 /// Checks that a generation and a fingerprint reach every node.
-fn spread(fleet: &mut Fleet) -> Result<Duration, String> {
+fn check_dissemination(fleet: &mut Fleet) -> Result<Duration, String> {
     let source = fleet.random(fleet.len());
     fleet.configure(source, 1);
-    fleet.quarantine(source, 7, VALIDITY);
+    fleet.quarantine(source, 7, FINGERPRINT_VALIDITY);
     let took = fleet
-        .run_until(NEWS_LIMIT, |fleet| {
+        .run_until(DISSEMINATION_LIMIT, |fleet| {
             fleet.is_configured(1) && fleet.is_quarantined(source, 7)
         })
         .ok_or("an update did not reach every node in time")?;
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -1,4 +1,5 @@
-//! Memberships agree on who is live, whatever the network does in between.
+//! Nodes agree on which of them are live, also after crashes, pauses, partitions
+//! and loss of messages.
 
 mod fleet;
 
@@ -21,8 +22,8 @@
 #[rstest]
 fn nodes_agree_after_random_faults() {
     for seed in SEEDS {
-        if let Err(what) = scenario::run(Settings::default(), seed) {
-            panic!("seed {seed}: {what}");
+        if let Err(failure) = scenario::run(Settings::default(), seed) {
+            panic!("seed {seed}: {failure}");
         }
     }
 }
@@ -32,7 +33,7 @@
 #[case(8)]
 #[case(50)]
 fn a_killed_node_is_dropped_everywhere(#[case] nodes: usize) {
-    let mut fleet = agreed(nodes);
+    let mut fleet = agreed_fleet(nodes);
     fleet.kill(0);
     let took = fleet.run_until(scenario::DROP_LIMIT, |fleet| fleet.is_dropped(0));
     assert!(took.is_some(), "seed 1");
@@ -42,7 +43,7 @@
 #[case(8)]
 #[case(50)]
 fn a_leaving_node_is_dropped_everywhere(#[case] nodes: usize) {
-    let mut fleet = agreed(nodes);
+    let mut fleet = agreed_fleet(nodes);
     fleet.leave(0);
     let took = fleet.run_until(scenario::LEAVE_LIMIT, |fleet| fleet.is_dropped(0));
     assert!(took.is_some(), "seed 1");
@@ -52,15 +53,15 @@
 #[case(8)]
 #[case(50)]
 fn a_generation_reaches_every_node(#[case] nodes: usize) {
-    let mut fleet = agreed(nodes);
+    let mut fleet = agreed_fleet(nodes);
     fleet.configure(0, 1);
-    let took = fleet.run_until(scenario::NEWS_LIMIT, |fleet| fleet.is_configured(1));
+    let took = fleet.run_until(scenario::DISSEMINATION_LIMIT, |fleet| fleet.is_configured(1));
     assert!(took.is_some(), "seed 1");
 }
 
 #[rstest]
-fn a_paused_node_finds_the_others_still_live() {
-    let mut fleet = agreed(8);
+fn a_paused_node_does_not_drop_the_others() {
+    let mut fleet = agreed_fleet(8);
     fleet.pause(0);
     fleet.run(Duration::from_secs(20));
     fleet.resume(0);
@@ -74,8 +75,8 @@
 }
 
 #[rstest]
-fn a_node_paused_beyond_the_retention_starts_anew() {
-    let mut fleet = agreed(8);
+fn a_node_paused_beyond_the_retention_time_discards_its_table() {
+    let mut fleet = agreed_fleet(8);
     fleet.pause(0);
     fleet.run(Settings::default().retention * 2);
     fleet.kill(7);
@@ -86,13 +87,14 @@
             .is_some(),
         "seed 1"
     );
-    // Its own forgetting of the six that run; nobody else dropped anybody.
+    // The resumed node discarded the six running nodes with its table; no other
+    // node dropped a live one.
     assert_eq!(fleet.counts.false_drops, 6, "seed 1");
 }
 
 #[rstest]
-fn a_data_centre_that_is_cut_off_keeps_its_own_nodes_and_joins_again() {
-    let mut fleet = agreed(9);
+fn a_partitioned_data_centre_keeps_its_own_nodes_and_rejoins() {
+    let mut fleet = agreed_fleet(9);
     fleet.cut(&["plovdiv"]);
     assert!(
         fleet
@@ -112,8 +114,8 @@
 }
 
 #[rstest]
-fn a_lossy_network_drops_nobody() {
-    let mut fleet = agreed(8);
+fn a_lossy_network_causes_no_false_drops() {
+    let mut fleet = agreed_fleet(8);
     fleet.network = Network {
         loss: 0.02,
         duplicate: 0.02,
@@ -124,15 +126,15 @@
     assert_eq!(fleet.counts.false_drops, 0, "seed 1");
 }
 
-/// Returns nodes that agree, drawn from seed 1.
-fn agreed(nodes: usize) -> Fleet {
+/// Returns a fleet of seed 1 whose nodes agree.
+fn agreed_fleet(nodes: usize) -> Fleet {
     let mut fleet = Fleet::start(nodes, Settings::default(), 1);
     let took = fleet.run_until(scenario::AGREE_LIMIT, Fleet::agrees);
     assert!(took.is_some(), "seed 1");
     fleet
 }
 
-/// Returns what a node says of itself.
+/// Returns the member record of a node.
 fn member(name: &str, state: State) -> Member {
     Member {
         node: name.into(),
@@ -144,7 +146,7 @@
     }
 }
 
-/// Returns a beat that tells of other nodes.
+/// Returns a heartbeat with updates about other nodes.
 fn beat(sender: &str, members: Vec<Member>) -> Beat {
     Beat {
         sender: member(sender, State::Alive),
@@ -156,59 +158,59 @@
     }
 }
 
-/// Returns a membership of node a that knows b and c, and the moment.
-fn three() -> (Membership, Instant) {
+/// Returns the membership of node a, which knows b and c, and its current time.
+fn membership_of_three() -> (Membership, Instant) {
     let now = Instant::default() + Duration::from_mins(1);
-    let own = member("a", State::Alive);
-    let mut membership = Membership::new(Settings::default(), own, now, 1);
+    let local = member("a", State::Alive);
+    let mut membership = Membership::new(Settings::default(), local, now, 1);
     membership.request(now, &beat("b", vec![member("c", State::Alive)]));
     (membership, now)
 }
 
-/// Returns whether a node is among the live.
+/// Returns whether a membership sees a node as live.
 fn is_live(membership: &Membership, name: &str) -> bool {
     let members = membership.members();
     members.iter().any(|member| member.node.as_str() == name)
 }
 
 #[rstest]
-fn a_pause_does_not_count_as_time_to_refute() {
-    let (mut membership, now) = three();
+fn a_pause_restarts_the_suspicion_timeout() {
+    let (mut membership, now) = membership_of_three();
     membership.request(now, &beat("b", vec![member("c", State::Suspect)]));
     let later = now + Duration::from_mins(1);
     membership.tick(later);
     assert!(is_live(&membership, "c"));
-    let mut moment = later;
+    let mut time = later;
     for _ in 0..10 {
-        moment += Duration::from_millis(500);
-        membership.tick(moment);
+        time += Duration::from_millis(500);
+        membership.tick(time);
     }
     assert!(!is_live(&membership, "c"));
 }
 
 #[rstest]
-fn a_node_dropped_elsewhere_is_tried_and_told() {
-    let (mut membership, now) = three();
+fn a_node_dropped_elsewhere_is_contacted_and_can_refute() {
+    let (mut membership, now) = membership_of_three();
     membership.request(now, &beat("b", vec![member("c", State::Dropped)]));
     assert!(is_live(&membership, "c"));
-    let told = membership.tick(now).into_iter().any(|effect| match effect {
+    let sent = membership.tick(now).into_iter().any(|effect| match effect {
         Effect::Exchange { node, beat, .. } => {
             node.as_str() == "c" && beat.members.contains(&member("c", State::Dropped))
         }
         _ => false,
     });
-    assert!(told);
+    assert!(sent);
 }
 
 #[rstest]
-fn a_peer_that_knows_less_is_told_everything_once_no_news_are_left() {
-    let (mut membership, now) = three();
-    let mut moment = now;
-    let mut told = false;
+fn a_peer_with_another_digest_gets_the_full_state_once_no_updates_are_queued() {
+    let (mut membership, now) = membership_of_three();
+    let mut time = now;
+    let mut sent = false;
     for _ in 0..60 {
-        moment += Duration::from_millis(500);
-        let (answer, _) = membership.request(moment, &beat("b", Vec::new()));
-        told |= answer.whole && answer.members.contains(&member("c", State::Alive));
+        time += Duration::from_millis(500);
+        let (answer, _) = membership.request(time, &beat("b", Vec::new()));
+        sent |= answer.whole && answer.members.contains(&member("c", State::Alive));
     }
-    assert!(told);
+    assert!(sent);
 }
