--- a/lib/src/difference.rs
+++ b/lib/src/difference.rs
@@ -1,20 +1,21 @@
-//! What changed between two versions of the operators' text.
+//! Difference between two versions of the operators' configuration.
 
 use crate::{fault, tree::Node};
 
-/// Field that names the generation a text was edited from; it is no content.
-const GENERATION: &str = "generation";
+/// Field with the generation that a document was edited from, which is not part
+/// of its content.
+const GENERATION_FIELD: &str = "generation";
 
-/// Returns a line for each field that differs, in the order of their paths.
+/// Returns one line per field that differs, ordered by the path of the field.
 ///
 /// # Errors
 ///
-/// Fails if one of the texts is not YAML.
+/// Fails if one of the documents is not valid YAML.
 pub fn lines(old: &str, new: &str) -> Result<Vec<String>, fault::List> {
     let mut old = Node::parse(old)?.leaves();
     let mut new = Node::parse(new)?.leaves();
-    old.remove(GENERATION);
-    new.remove(GENERATION);
+    old.remove(GENERATION_FIELD);
+    new.remove(GENERATION_FIELD);
     let mut lines = Vec::new();
     for (path, before) in &old {
         match new.get(path) {
--- a/lib/src/fields.rs
+++ b/lib/src/fields.rs
@@ -1,4 +1,4 @@
-//! Typed access to the fields of a [`tree::Node`], collecting every fault.
+//! Typed access to the fields of a [`tree::Node`] that collects all errors.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -7,13 +7,13 @@
     tree::{self, Item, Node},
 };
 
-/// Collects faults while a document is read.
+/// Reads typed values from a document and collects its errors.
 #[derive(Debug, Default)]
 pub struct Reader {
     faults: Vec<Fault>,
 }
 
-/// The fields of one mapping.
+/// The fields of a mapping.
 #[derive(Clone, Debug)]
 pub struct Fields<'a> {
     line: u64,
@@ -40,7 +40,7 @@
         self.get(name).map_or(self.line, |node| node.line)
     }
 
-    /// Iterates over names and nodes.
+    /// Iterates over the names and values of the fields.
     pub fn iter(&self) -> impl Iterator<Item = (&'a str, &'a Node)> + use<'a> {
         self.entries
             .iter()
@@ -58,8 +58,8 @@
 }
 
 impl Reader {
-    /// Records a fault.
-    pub fn fault(&mut self, line: u64, path: impl Into<String>, message: impl Into<String>) {
+    /// Records an error.
+    pub fn report(&mut self, line: u64, path: impl Into<String>, message: impl Into<String>) {
         self.faults.push(Fault {
             line,
             path: path.into(),
@@ -67,11 +67,11 @@
         });
     }
 
-    /// Ends reading.
+    /// Finishes reading and returns `value` if no error was recorded.
     ///
     /// # Errors
     ///
-    /// Fails with every fault recorded, in the order of lines.
+    /// Fails with all recorded errors in the order of their lines.
     pub fn finish<T>(mut self, value: T) -> Result<T, fault::List> {
         if self.faults.is_empty() {
             return Ok(value);
@@ -80,16 +80,16 @@
         Err(fault::List(self.faults))
     }
 
-    /// Reads a mapping whose names are free.
+    /// Reads a mapping with arbitrary field names.
     pub fn entries<'a>(&mut self, node: &'a Node, path: &str) -> Fields<'a> {
         let entries: &[(String, Node)] = match &node.item {
             Item::Map(entries) => entries,
             Item::Null => &[],
             other => {
-                self.fault(
+                self.report(
                     node.line,
                     path,
-                    format!("{other} where a mapping is needed; write `name: value` lines"),
+                    format!("expected a mapping, found {other}; write `name: value` lines"),
                 );
                 &[]
             }
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Reads a mapping whose names are fixed; any other is a fault.
+    /// Reads a mapping in which only the `known` field names are allowed.
     pub fn fields<'a>(&mut self, node: &'a Node, path: &str, known: &[&str]) -> Fields<'a> {
         let fields = self.entries(node, path);
         for (name, node) in fields.iter() {
@@ -109,7 +109,7 @@
                 continue;
             }
             let known = known.join("`, `");
-            self.fault(
+            self.report(
                 node.line,
                 fields.path_of(name),
                 format!("unknown field; remove it or use one of `{known}`"),
@@ -118,7 +118,7 @@
         fields
     }
 
-    /// Returns a field that must be there.
+    /// Returns a required field.
     pub fn required<'a>(
         &mut self,
         fields: &Fields<'a>,
@@ -127,7 +127,7 @@
     ) -> Option<&'a Node> {
         let node = fields.get(name);
         if node.is_none() {
-            self.fault(
+            self.report(
                 fields.line,
                 fields.path_of(name),
                 format!("missing; add `{name}: {example}`"),
@@ -136,20 +136,20 @@
         node
     }
 
-    /// Returns a field that may be absent.
+    /// Returns an optional field.
     #[must_use]
     pub fn optional<'a>(&self, fields: &Fields<'a>, name: &str) -> Option<&'a Node> {
         fields.get(name)
     }
 
-    /// Reads text that must be there.
-    pub fn text(&mut self, fields: &Fields<'_>, name: &str, example: &str) -> Option<String> {
+    /// Reads a required string.
+    pub fn string(&mut self, fields: &Fields<'_>, name: &str, example: &str) -> Option<String> {
         let node = self.required(fields, name, example)?;
         self.scalar(node, &fields.path_of(name), example)
     }
 
-    /// Reads text that may be absent.
-    pub fn optional_text(
+    /// Reads an optional string.
+    pub fn optional_string(
         &mut self,
         fields: &Fields<'_>,
         name: &str,
@@ -159,34 +159,34 @@
         self.scalar(node, &fields.path_of(name), example)
     }
 
-    /// Reads a scalar as text.
+    /// Reads a non-empty string or an integer as a string.
     pub fn scalar(&mut self, node: &Node, path: &str, example: &str) -> Option<String> {
         match &node.item {
             Item::Text(text) if !text.is_empty() => Some(text.clone()),
             Item::Integer(number) => Some(number.to_string()),
             other => {
-                self.fault(
+                self.report(
                     node.line,
                     path,
-                    format!("`{other}` where text is needed; write for example `{example}`"),
+                    format!("expected a string, found `{other}`; write for example `{example}`"),
                 );
                 None
             }
         }
     }
 
-    /// Reads a list of texts without repetition; absent means empty.
-    pub fn texts(&mut self, fields: &Fields<'_>, name: &str, example: &str) -> Vec<String> {
+    /// Reads a list of distinct strings; an absent field is an empty list.
+    pub fn strings(&mut self, fields: &Fields<'_>, name: &str, example: &str) -> Vec<String> {
         let Some(node) = fields.get(name) else {
             return Vec::new();
         };
         let path = fields.path_of(name);
         let Item::List(nodes) = &node.item else {
-            self.fault(
+            self.report(
                 node.line,
                 path,
                 format!(
-                    "`{}` where a list is needed; write `[{example}]`",
+                    "expected a list, found `{}`; write `[{example}]`",
                     node.item
                 ),
             );
@@ -199,10 +199,10 @@
                 continue;
             };
             if !seen.insert(text.clone()) {
-                self.fault(
+                self.report(
                     node.line,
                     path.as_str(),
-                    format!("`{text}` stands twice; remove one"),
+                    format!("`{text}` is listed twice; remove one"),
                 );
                 continue;
             }
@@ -211,7 +211,7 @@
         texts
     }
 
-    /// Reads a whole number within bounds; absent means `default`.
+    /// Reads an integer within inclusive bounds; an absent field is `default`.
     pub fn integer(
         &mut self,
         fields: &Fields<'_>,
@@ -222,53 +222,53 @@
         let Some(node) = fields.get(name) else {
             return default;
         };
-        let (least, most) = bounds;
+        let (min, max) = bounds;
         if let Item::Integer(number) = node.item
             && let Ok(number) = u64::try_from(number)
-            && (least..=most).contains(&number)
+            && (min..=max).contains(&number)
         {
             return Some(number);
         }
         let message = format!(
-            "`{}` is out of range; write a whole number from {least} to {most}",
+            "`{}` is out of range; write a whole number from {min} to {max}",
             node.item
         );
-        self.fault(node.line, fields.path_of(name), message);
+        self.report(node.line, fields.path_of(name), message);
         None
     }
 
-    /// Reads a truth value that must be there.
-    pub fn flag(&mut self, fields: &Fields<'_>, name: &str) -> Option<bool> {
+    /// Reads a required boolean.
+    pub fn boolean(&mut self, fields: &Fields<'_>, name: &str) -> Option<bool> {
         let node = self.required(fields, name, "true")?;
         if let Item::Flag(flag) = node.item {
             return Some(flag);
         }
-        let message = format!("`{}` is no truth value; write `true` or `false`", node.item);
-        self.fault(node.line, fields.path_of(name), message);
+        let message = format!("`{}` is not a boolean; write `true` or `false`", node.item);
+        self.report(node.line, fields.path_of(name), message);
         None
     }
 
-    /// Reads a duration within bounds that must be there.
+    /// Reads a required duration within inclusive bounds.
     pub fn duration(
         &mut self,
         fields: &Fields<'_>,
         name: &str,
         bounds: (Duration, Duration),
     ) -> Option<Duration> {
-        let text = self.text(fields, name, "10s")?;
-        let (least, most) = bounds;
+        let text = self.string(fields, name, "10s")?;
+        let (min, max) = bounds;
         let parsed = humantime::parse_duration(&text).ok();
         if let Some(duration) = parsed
-            && (least..=most).contains(&duration)
+            && (min..=max).contains(&duration)
         {
             return Some(duration);
         }
         let message = format!(
             "`{text}` is no usable duration; write one from {} to {}, such as `10s`",
-            humantime::format_duration(least),
-            humantime::format_duration(most),
+            humantime::format_duration(min),
+            humantime::format_duration(max),
         );
-        self.fault(fields.line_of(name), fields.path_of(name), message);
+        self.report(fields.line_of(name), fields.path_of(name), message);
         None
     }
 }
--- a/lib/src/id.rs
+++ b/lib/src/id.rs
@@ -3,7 +3,7 @@
 use derive_more::{AsRef, Display, From, FromStr};
 use serde::{Deserialize, Serialize};
 
-/// Declares a newtype over `String` that names one kind of thing.
+/// Declares a newtype over `String` for the names of one kind of entity.
 macro_rules! name {
     ($(#[$doc:meta])* $kind:ident) => {
         $(#[$doc])*
@@ -31,19 +31,19 @@
 }
 
 name! {
-    /// Names one process of the daemon for as long as its host lives.
+    /// Names one node: the daemon on one host, also across restarts.
     Node
 }
 name! {
-    /// Names one back end: a model engine's replica or a plain service's.
+    /// Names one back end: a replica of a model engine or of a plain service.
     Endpoint
 }
 name! {
-    /// Names a service of the operators' text.
+    /// Names a service of the operators' configuration.
     Service
 }
 name! {
-    /// Names a customer's workspace of the operators' text.
+    /// Names a customer's workspace of the operators' configuration.
     Workspace
 }
 name! {
@@ -55,7 +55,7 @@
     Model
 }
 name! {
-    /// Names a call of the operators' text.
+    /// Names a call of the operators' configuration.
     Call
 }
 name! {
@@ -63,12 +63,12 @@
     Route
 }
 
-/// Identifies one attempt of a request inside one node.
+/// Identifies one attempt of a request within one node.
 #[derive(Clone, Copy, Debug, Display, From, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("{_0}")]
 pub struct Request(pub u64);
 
-/// Position of a tier in the operators' text; zero is the highest.
+/// Position of a tier in the operators' configuration; zero is the highest.
 #[derive(
     Clone,
     Copy,
@@ -87,7 +87,7 @@
 #[serde(transparent)]
 pub struct Tier(pub u8);
 
-/// Number of an accepted configuration; higher replaces lower.
+/// Generation number of an accepted configuration; a higher one replaces a lower.
 #[derive(
     Clone,
     Copy,
@@ -115,7 +115,7 @@
     }
 }
 
-/// Hash of a request's content, equal when the same request is sent again.
+/// Hash of the content of a request; a repeated request has the same one.
 #[derive(
     Clone, Copy, Debug, Display, From, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -123,7 +123,7 @@
 #[serde(transparent)]
 pub struct Fingerprint(pub u64);
 
-/// Hash of a prompt's first blocks; equal prefixes have equal hashes.
+/// Hash of the leading blocks of a prompt; equal prefixes have equal hashes.
 #[derive(
     Clone, Copy, Debug, Display, From, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/lib/src/key.rs
+++ b/lib/src/key.rs
@@ -1,4 +1,4 @@
-//! Callers' keys, of which the operators' text holds digests only.
+//! Callers' API keys; the operators' configuration contains only their digests.
 
 use std::fmt::Write;
 
@@ -8,12 +8,12 @@
 ///
 /// # Panics
 ///
-/// Never: writing to a string does not fail.
+/// Never: writing to a `String` does not fail.
 #[must_use]
 pub fn digest(key: &str) -> String {
     let mut digits = String::with_capacity(64);
     for byte in Sha256::digest(key.as_bytes()) {
-        write!(digits, "{byte:02x}").expect("a string takes any text");
+        write!(digits, "{byte:02x}").expect("writing to a String does not fail");
     }
     digits
 }
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -1,8 +1,8 @@
 //! Types and the decision core of dottereltally.
 //!
-//! Nothing in this crate performs I/O, reads a clock or draws its own random
-//! numbers: every call takes the time and an event and returns effects. The
-//! daemon, the randomised runs and the experiments drive the same code.
+//! Nothing in this crate performs I/O, reads a clock or seeds its own random
+//! numbers: callers pass in the time and events and get effects back. The
+//! daemon, the randomised tests and the experiments run the same code.
 
 mod admission;
 pub mod affinity;
--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -215,7 +215,10 @@
         let reconnects = if isolated {
             self.settings.fan_out
         } else {
-            usize::from(self.rng.random_ratio(1, self.settings.reconnect_rounds.max(1)))
+            usize::from(
+                self.rng
+                    .random_ratio(1, self.settings.reconnect_rounds.max(1)),
+            )
         };
         for (node, address) in self.choose_unreachable_hosts(reconnects) {
             effects.push(self.exchange(now, node, address, true));
--- a/lib/src/size.rs
+++ b/lib/src/size.rs
@@ -28,7 +28,7 @@
 pub struct Tokens(pub u64);
 
 impl Tokens {
-    /// Subtracts, stopping at zero.
+    /// Subtracts, saturating at zero.
     #[must_use]
     pub const fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
--- a/lib/src/text.rs
+++ b/lib/src/text.rs
@@ -1,4 +1,5 @@
-//! The operators' text: services, calls and workspaces, checked as a whole.
+//! The operators' configuration: tiers, services, calls and workspaces,
+//! validated as a whole.
 
 mod calls;
 pub mod graph;
@@ -15,10 +16,10 @@
 
 use crate::{id, size};
 
-/// A checked text; every name that it uses is declared in it.
+/// A validated configuration: every name that it refers to is declared in it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Text {
-    /// Names of the tiers, highest first; four at the most.
+    /// Names of the tiers, highest first; at most four.
     pub tiers: Vec<String>,
     /// The services.
     pub services: BTreeMap<id::Service, Service>,
@@ -28,74 +29,74 @@
     pub workspaces: BTreeMap<id::Workspace, Workspace>,
 }
 
-/// What stands behind a service.
+/// What the endpoints of a service run.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Kind {
-    /// Model engines.
+    /// Inference engines that serve models.
     #[display("model")]
     Model,
-    /// Plain services.
+    /// Any other HTTP service.
     #[display("plain")]
     Plain,
 }
 
-/// One service.
+/// A service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// What stands behind it.
+    /// What its endpoints run.
     pub kind: Kind,
-    /// Services that it can't do without.
+    /// Services that it needs in order to work.
     pub depends_on: BTreeSet<id::Service>,
     /// Models that its endpoints serve.
     pub models: BTreeSet<id::Model>,
     /// Adapters that its endpoints serve.
     pub adapters: BTreeSet<id::Model>,
-    /// Tokens that one endpoint may hold at first, before rates are observed;
-    /// for a plain service each request counts as one token.
+    /// Initial window of an endpoint, in tokens, used until rates have been
+    /// observed; each request to a plain service counts as one token.
     pub window: size::Tokens,
 }
 
-/// One call: which requests it matches and how they are treated.
+/// A call: which requests it matches and how they are handled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
     /// The service that serves it.
     pub service: id::Service,
-    /// HTTP method, upper case.
+    /// HTTP method in upper case.
     pub method: String,
-    /// Path; a last segment `*` matches any rest.
+    /// Path; `*` as the last segment matches any remainder.
     pub path: String,
-    /// Model that the request must name; none matches any.
+    /// Model that the request must name; `None` matches any request.
     pub model: Option<id::Model>,
-    /// Its tier; a caller may ask for a lower one, never a higher.
+    /// Its tier; a caller may ask for a lower tier but not for a higher one.
     pub tier: id::Tier,
-    /// Time for the whole answer; a caller may ask for less.
+    /// Time limit for the complete answer; a caller may ask for a shorter one.
     pub deadline: Duration,
-    /// Whether running it twice does no harm.
+    /// Whether a request may safely run more than once.
     pub idempotent: bool,
-    /// Whether a non-idempotent call is served without an idempotency key.
+    /// Whether a non-idempotent request is accepted without an idempotency key.
     pub unkeyed: bool,
 }
 
-/// One workspace.
+/// A workspace.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Workspace {
-    /// SHA-256 digests of its callers' keys, lower-case hexadecimal.
+    /// SHA-256 digests of its callers' API keys, in lower-case hexadecimal.
     pub keys: BTreeSet<String>,
-    /// Its weight against other workspaces of the same tier.
+    /// Fair-share weight relative to the other workspaces of the same tier.
     pub share: u32,
-    /// Requests that it may have in one node at a time; none for no limit.
+    /// Maximum number of its requests in one node at a time; `None` for no limit.
     pub limit: Option<u32>,
 }
 
 impl Text {
-    /// Returns the tier of this name.
+    /// Returns the tier with this name.
     #[must_use]
     pub fn tier(&self, name: &str) -> Option<id::Tier> {
         let position = self.tiers.iter().position(|tier| tier == name)?;
         u8::try_from(position).ok().map(id::Tier)
     }
 
-    /// Returns the name of a tier.
+    /// Returns the name of a tier, empty if the tier is not declared.
     #[must_use]
     pub fn tier_name(&self, tier: id::Tier) -> &str {
         self.tiers
@@ -103,8 +104,9 @@
             .map_or("", String::as_str)
     }
 
-    /// Returns the call that matches a request: the longest path wins, then
-    /// the one that names the model.
+    /// Returns the most specific call that matches a request: an exact path
+    /// before one with `*`, then the longer path, then a call that names the
+    /// model.
     #[must_use]
     pub fn call(
         &self,
@@ -117,7 +119,7 @@
             if !call.matches(method, path, model) {
                 continue;
             }
-            if best.is_none_or(|(_, other)| call.rank() > other.rank()) {
+            if best.is_none_or(|(_, other)| call.specificity() > other.specificity()) {
                 best = Some((name, call));
             }
         }
@@ -130,15 +132,15 @@
     #[must_use]
     pub fn matches(&self, method: &str, path: &str, model: Option<&id::Model>) -> bool {
         let path_matches = match self.path.strip_suffix('*') {
-            Some(stem) => path.starts_with(stem),
+            Some(prefix) => path.starts_with(prefix),
             None => path == self.path,
         };
         let model_matches = self.model.is_none() || self.model.as_ref() == model;
         path_matches && model_matches && method == self.method
     }
 
-    /// Orders calls that match the same request; the greater one is meant.
-    fn rank(&self) -> (bool, usize, bool) {
+    /// Orders calls that match the same request; the greatest one applies.
+    fn specificity(&self) -> (bool, usize, bool) {
         (
             !self.path.ends_with('*'),
             self.path.len(),
--- a/lib/src/text/calls.rs
+++ b/lib/src/text/calls.rs
@@ -1,4 +1,4 @@
-//! Reads the calls of the operators' text.
+//! Parses the calls of the operators' configuration.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -13,7 +13,7 @@
 const MAX_DEADLINE: Duration = Duration::from_hours(1);
 const METHODS: [&str; 7] = ["DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT"];
 
-/// Reads every call; tiers and services have been read before.
+/// Reads all calls; the tiers and services of `text` must have been read before.
 pub(super) fn read(reader: &mut Reader, node: &Node, text: &Text) -> BTreeMap<id::Call, Call> {
     let entries = reader.entries(node, "calls");
     let mut calls = BTreeMap::new();
@@ -24,12 +24,12 @@
         let Some(call) = read_call(reader, node, &path, text) else {
             continue;
         };
-        let matched = (call.method.clone(), call.path.clone(), call.model.clone());
-        if let Some(other) = seen.insert(matched, name.to_owned()) {
+        let matcher = (call.method.clone(), call.path.clone(), call.model.clone());
+        if let Some(other) = seen.insert(matcher, name.to_owned()) {
             let message = format!(
                 "matches the same requests as `calls.{other}`; change method, path or model of one"
             );
-            reader.fault(node.line, path, message);
+            reader.report(node.line, path, message);
         }
         calls.insert(id::Call::from(name), call);
     }
@@ -48,15 +48,15 @@
         "unkeyed",
     ];
     let fields = reader.fields(node, path, &known);
-    let service = read_call_service(reader, &fields, text);
+    let service = read_service(reader, &fields, text);
     let method = read_method(reader, &fields);
-    let route = read_path(reader, &fields);
+    let path_pattern = read_path(reader, &fields);
     let tier = read_tier(reader, &fields, text);
     let deadline = reader.duration(&fields, "deadline", (MIN_DEADLINE, MAX_DEADLINE));
-    let idempotent = reader.flag(&fields, "idempotent");
+    let idempotent = reader.boolean(&fields, "idempotent");
     let unkeyed = read_unkeyed(reader, &fields, idempotent);
     let model = reader
-        .optional_text(&fields, "model", "NAME")
+        .optional_string(&fields, "model", "NAME")
         .map(id::Model::from);
     let service = service?;
     if let Some(model) = &model {
@@ -65,7 +65,7 @@
     Some(Call {
         service,
         method: method?,
-        path: route?,
+        path: path_pattern?,
         model,
         tier: tier?,
         deadline: deadline?,
@@ -74,12 +74,12 @@
     })
 }
 
-fn read_call_service(reader: &mut Reader, fields: &Fields<'_>, text: &Text) -> Option<id::Service> {
-    let name = reader.text(fields, "service", "NAME")?;
+fn read_service(reader: &mut Reader, fields: &Fields<'_>, text: &Text) -> Option<id::Service> {
+    let name = reader.string(fields, "service", "NAME")?;
     let service = id::Service::from(name);
     if !text.services.contains_key(&service) {
-        let message = format!("`{service}` is no usable service; declare it under `services`");
-        reader.fault(
+        let message = format!("`{service}` is not a declared service; declare it under `services`");
+        reader.report(
             fields.line_of("service"),
             format!("{}.service", fields.path()),
             message,
@@ -89,12 +89,15 @@
 }
 
 fn read_method(reader: &mut Reader, fields: &Fields<'_>) -> Option<String> {
-    let method = reader.text(fields, "method", "POST")?;
+    let method = reader.string(fields, "method", "POST")?;
     if METHODS.contains(&method.as_str()) {
         return Some(method);
     }
-    let message = format!("`{method}` is no method; use one of {}", METHODS.join(", "));
-    reader.fault(
+    let message = format!(
+        "`{method}` is not a supported method; use one of {}",
+        METHODS.join(", ")
+    );
+    reader.report(
         fields.line_of("method"),
         format!("{}.method", fields.path()),
         message,
@@ -103,14 +106,15 @@
 }
 
 fn read_path(reader: &mut Reader, fields: &Fields<'_>) -> Option<String> {
-    let path = reader.text(fields, "path", "/v1/chat/completions")?;
+    let path = reader.string(fields, "path", "/v1/chat/completions")?;
     let body = path.strip_suffix("/*").unwrap_or(&path);
     if path.starts_with('/') && !body.contains(['*', '?', '#', ' ']) {
         return Some(path);
     }
-    let message =
-        format!("`{path}` is no path; start with `/`, without query, `*` only as the last segment");
-    reader.fault(
+    let message = format!(
+        "`{path}` is not a valid path; start it with `/`, leave out the query and use `*` only as the last segment"
+    );
+    reader.report(
         fields.line_of("path"),
         format!("{}.path", fields.path()),
         message,
@@ -119,14 +123,14 @@
 }
 
 fn read_tier(reader: &mut Reader, fields: &Fields<'_>, text: &Text) -> Option<id::Tier> {
-    let name = reader.text(fields, "tier", "NAME")?;
+    let name = reader.string(fields, "tier", "NAME")?;
     let tier = text.tier(&name);
     if tier.is_none() {
         let message = format!(
-            "`{name}` is no tier; use one of `{}`",
+            "`{name}` is not a declared tier; use one of `{}`",
             text.tiers.join("`, `")
         );
-        reader.fault(
+        reader.report(
             fields.line_of("tier"),
             format!("{}.tier", fields.path()),
             message,
@@ -136,19 +140,19 @@
 }
 
 fn read_unkeyed(reader: &mut Reader, fields: &Fields<'_>, idempotent: Option<bool>) -> bool {
-    let Some(word) = reader.optional_text(fields, "unkeyed", "allow") else {
+    let Some(choice) = reader.optional_string(fields, "unkeyed", "allow") else {
         return false;
     };
     let path = format!("{}.unkeyed", fields.path());
-    if !["allow", "refuse"].contains(&word.as_str()) {
-        let message = format!("`{word}` is no choice; use `allow` or `refuse`");
-        reader.fault(fields.line_of("unkeyed"), path.as_str(), message);
+    if !["allow", "refuse"].contains(&choice.as_str()) {
+        let message = format!("`{choice}` is not a valid choice; use `allow` or `refuse`");
+        reader.report(fields.line_of("unkeyed"), path.as_str(), message);
     }
     if idempotent == Some(true) {
-        let message = "an idempotent call needs no key anyway; remove the field";
-        reader.fault(fields.line_of("unkeyed"), path, message);
+        let message = "an idempotent call does not need a key; remove the field";
+        reader.report(fields.line_of("unkeyed"), path, message);
     }
-    word == "allow"
+    choice == "allow"
 }
 
 fn check_model(
@@ -164,8 +168,8 @@
     if service.models.contains(model) || service.adapters.contains(model) {
         return;
     }
-    let message = format!("`{model}` is no model or adapter of the service; add it there");
-    reader.fault(
+    let message = format!("`{model}` is not a model or adapter of the service; add it there");
+    reader.report(
         fields.line_of("model"),
         format!("{}.model", fields.path()),
         message,
--- a/lib/src/text/graph.rs
+++ b/lib/src/text/graph.rs
@@ -1,10 +1,10 @@
-//! The graph of what services depend on.
+//! Dependency graph of the services.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{id, text::Service};
 
-/// Returns the services of every cycle, each cycle once.
+/// Returns every set of services that depend on each other in a cycle, each once.
 #[must_use]
 pub fn cycles(services: &BTreeMap<id::Service, Service>) -> Vec<Vec<id::Service>> {
     let mut found = Vec::new();
@@ -27,21 +27,21 @@
     found
 }
 
-/// Returns every service that `name` depends on, directly or not.
+/// Returns every service that `name` depends on, directly or transitively.
 #[must_use]
 pub fn closure(
     services: &BTreeMap<id::Service, Service>,
     name: &id::Service,
 ) -> BTreeSet<id::Service> {
     let mut reached = BTreeSet::new();
-    let mut open = vec![name];
-    while let Some(next) = open.pop() {
+    let mut to_visit = vec![name];
+    while let Some(next) = to_visit.pop() {
         let Some(service) = services.get(next) else {
             continue;
         };
-        for needed in &service.depends_on {
-            if reached.insert(needed.clone()) {
-                open.push(needed);
+        for dependency in &service.depends_on {
+            if reached.insert(dependency.clone()) {
+                to_visit.push(dependency);
             }
         }
     }
--- a/lib/src/text/services.rs
+++ b/lib/src/text/services.rs
@@ -1,4 +1,4 @@
-//! Reads the services of the operators' text.
+//! Parses the services of the operators' configuration.
 
 use std::collections::BTreeMap;
 
@@ -9,11 +9,11 @@
     tree::Node,
 };
 
-const MAX_WINDOW: u64 = 1_000_000_000;
-const DEFAULT_MODEL_WINDOW: u64 = 32_768;
-const DEFAULT_PLAIN_WINDOW: u64 = 16;
+const MAX_WINDOW_TOKENS: u64 = 1_000_000_000;
+const DEFAULT_MODEL_WINDOW_TOKENS: u64 = 32_768;
+const DEFAULT_PLAIN_WINDOW_TOKENS: u64 = 16;
 
-/// Reads every service and checks what they depend on.
+/// Reads all services and checks their dependencies.
 pub(super) fn read(reader: &mut Reader, node: &Node) -> BTreeMap<id::Service, Service> {
     let entries = reader.entries(node, "services");
     let mut services = BTreeMap::new();
@@ -30,20 +30,20 @@
 fn read_service(reader: &mut Reader, node: &Node, path: &str) -> Service {
     let known = ["kind", "depends_on", "models", "adapters", "window"];
     let fields = reader.fields(node, path, &known);
-    let models = reader.texts(&fields, "models", "model");
-    let adapters = reader.texts(&fields, "adapters", "adapter");
-    let depends_on = reader.texts(&fields, "depends_on", "service");
+    let models = reader.strings(&fields, "models", "model");
+    let adapters = reader.strings(&fields, "adapters", "adapter");
+    let depends_on = reader.strings(&fields, "depends_on", "service");
     let kind = read_kind(reader, &fields);
     let default = match kind {
-        Some(Kind::Plain) => DEFAULT_PLAIN_WINDOW,
-        _ => DEFAULT_MODEL_WINDOW,
+        Some(Kind::Plain) => DEFAULT_PLAIN_WINDOW_TOKENS,
+        _ => DEFAULT_MODEL_WINDOW_TOKENS,
     };
-    let window = reader.integer(&fields, "window", (1, MAX_WINDOW), Some(default));
+    let window = reader.integer(&fields, "window", (1, MAX_WINDOW_TOKENS), Some(default));
     if let Some(kind) = kind {
         check_models(reader, &fields, kind, models.len(), adapters.len());
     }
-    // A faulty field is already recorded; the service stays declared, so that
-    // what refers to it is not reported as well.
+    // The errors of the fields have been recorded already. The service still
+    // counts as declared, so that references to it are not reported as well.
     Service {
         kind: kind.unwrap_or(Kind::Plain),
         depends_on: depends_on.into_iter().map(id::Service::from).collect(),
@@ -67,17 +67,17 @@
         Kind::Model if models == 0 => "a model service needs models; add `models: [NAME]`",
         _ => return,
     };
-    reader.fault(fields.line(), fields.path(), message);
+    reader.report(fields.line(), fields.path(), message);
 }
 
 fn read_kind(reader: &mut Reader, fields: &Fields<'_>) -> Option<Kind> {
-    let kind = reader.text(fields, "kind", "model")?;
+    let kind = reader.string(fields, "kind", "model")?;
     match kind.as_str() {
         "model" => Some(Kind::Model),
         "plain" => Some(Kind::Plain),
         other => {
             let message = format!("`{other}` is no kind; use `model` or `plain`");
-            reader.fault(
+            reader.report(
                 fields.line_of("kind"),
                 format!("{}.kind", fields.path()),
                 message,
@@ -95,11 +95,15 @@
     for (name, service) in services {
         let line = entries.line_of(name.as_str());
         let path = format!("services.{name}.depends_on");
-        for needed in &service.depends_on {
-            if entries.iter().all(|(entry, _)| entry != needed.as_str()) {
-                let message =
-                    format!("`{needed}` is no service; declare it under `services` or remove it");
-                reader.fault(line, path.as_str(), message);
+        for dependency in &service.depends_on {
+            if entries
+                .iter()
+                .all(|(entry, _)| entry != dependency.as_str())
+            {
+                let message = format!(
+                    "`{dependency}` is not a declared service; declare it under `services` or remove it"
+                );
+                reader.report(line, path.as_str(), message);
             }
         }
     }
@@ -107,9 +111,9 @@
         let names: Vec<&str> = cycle.iter().map(id::Service::as_str).collect();
         let line = entries.line_of(names[0]);
         let message = format!(
-            "services depend on each other in a cycle: {}; remove one of the links",
+            "services depend on each other in a cycle: {}; remove one of the dependencies",
             names.join(", ")
         );
-        reader.fault(line, format!("services.{}.depends_on", names[0]), message);
+        reader.report(line, format!("services.{}.depends_on", names[0]), message);
     }
 }
--- a/lib/src/text/wire.rs
+++ b/lib/src/text/wire.rs
@@ -1,4 +1,4 @@
-//! Reads the operators' text and checks it as a whole.
+//! Parses and validates the operators' configuration document.
 
 use std::str::FromStr;
 
@@ -9,26 +9,27 @@
     tree::Node,
 };
 
-/// Number of tiers at the most.
+/// Maximum number of tiers.
 pub const MAX_TIERS: usize = 4;
 
-/// Length of a text in bytes at the most; the key-value service holds values
-/// up to a megabyte and the text is stored with its author and time.
-pub const MAX_BYTES: usize = 960_000;
+/// Maximum length of a document in bytes. The key-value service holds values
+/// up to a megabyte, and the document is stored together with its author and
+/// time.
+pub const MAX_DOCUMENT_BYTES: usize = 960_000;
 
 const MAX_NAME_BYTES: usize = 64;
-/// Reads a text and checks it as a whole.
+/// Parses a document and validates it as a whole.
 ///
 /// # Errors
 ///
-/// Fails with every fault of the text, each with its line and remedy.
+/// Fails with every error of the document, each with its line and how to fix it.
 pub fn parse(document: &str) -> Result<Text, fault::List> {
     let mut reader = Reader::default();
-    if document.len() > MAX_BYTES {
-        reader.fault(
+    if document.len() > MAX_DOCUMENT_BYTES {
+        reader.report(
             1,
             "document",
-            format!("longer than {MAX_BYTES} bytes; shorten names or remove workspaces"),
+            format!("longer than {MAX_DOCUMENT_BYTES} bytes; shorten names or remove workspaces"),
         );
         return reader.finish(Text::default());
     }
@@ -73,32 +74,32 @@
     {
         return Vec::new();
     }
-    let tiers = reader.texts(fields, "tiers", "highest, lowest");
+    let tiers = reader.strings(fields, "tiers", "highest, lowest");
     let line = fields.line_of("tiers");
     if tiers.is_empty() {
-        reader.fault(
+        reader.report(
             line,
             "tiers",
-            "no tier; name one to four, the highest first",
+            "no tiers; name one to four, the highest first",
         );
     }
     if tiers.len() > MAX_TIERS {
         let message = format!(
-            "{} tiers; {MAX_TIERS} are the most, remove some",
+            "{} tiers; at most {MAX_TIERS} are allowed, remove some",
             tiers.len()
         );
-        reader.fault(line, "tiers", message);
+        reader.report(line, "tiers", message);
     }
     tiers
 }
 
-/// Checks a name that the text declares.
+/// Checks a name that the document declares.
 pub(super) fn check_name(reader: &mut Reader, line: u64, path: &str, name: &str) {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
     if !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(allowed) {
         return;
     }
     let message =
-        format!("unusable name; use 1 to {MAX_NAME_BYTES} letters, digits, `-`, `_` or `.`");
-    reader.fault(line, path, message);
+        format!("invalid name; use 1 to {MAX_NAME_BYTES} letters, digits, `-`, `_` or `.`");
+    reader.report(line, path, message);
 }
--- a/lib/src/text/workspaces.rs
+++ b/lib/src/text/workspaces.rs
@@ -1,4 +1,4 @@
-//! Reads the workspaces of the operators' text.
+//! Parses the workspaces of the operators' configuration.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,11 +10,11 @@
 };
 
 const MAX_SHARE: u64 = 10_000;
-const MAX_LIMIT: u64 = 1_000_000;
+const MAX_REQUEST_LIMIT: u64 = 1_000_000;
 const KEY_PREFIX: &str = "sha256:";
-const KEY_DIGITS: usize = 64;
+const DIGEST_HEX_DIGITS: usize = 64;
 
-/// Reads every workspace.
+/// Reads all workspaces.
 pub(super) fn read(reader: &mut Reader, node: &Node) -> BTreeMap<id::Workspace, Workspace> {
     let entries = reader.entries(node, "workspaces");
     let mut workspaces = BTreeMap::new();
@@ -28,9 +28,9 @@
         for key in &workspace.keys {
             if let Some(other) = owners.insert(key.clone(), name.to_owned()) {
                 let message = format!(
-                    "a key belongs to `workspaces.{other}` too; give each workspace its own"
+                    "a key also belongs to `workspaces.{other}`; give each workspace its own keys"
                 );
-                reader.fault(node.line, format!("{path}.keys"), message);
+                reader.report(node.line, format!("{path}.keys"), message);
             }
         }
         workspaces.insert(id::Workspace::from(name), workspace);
@@ -42,16 +42,16 @@
     let fields = reader.fields(node, path, &["keys", "share", "limit"]);
     reader.required(&fields, "keys", "[sha256:HEX]");
     let mut keys = BTreeSet::new();
-    for key in reader.texts(&fields, "keys", "sha256:HEX") {
-        if let Some(digest) = digest(&key) {
+    for key in reader.strings(&fields, "keys", "sha256:HEX") {
+        if let Some(digest) = parse_digest(&key) {
             keys.insert(digest);
             continue;
         }
-        let message = "unusable key; write the output of `dottereltallyctl digest`, `sha256:` and 64 hexadecimal digits";
-        reader.fault(fields.line_of("keys"), format!("{path}.keys"), message);
+        let message = "invalid key; write the output of `dottereltallyctl digest`, `sha256:` and 64 hexadecimal digits";
+        reader.report(fields.line_of("keys"), format!("{path}.keys"), message);
     }
     let share = reader.integer(&fields, "share", (1, MAX_SHARE), Some(1))?;
-    let limit = reader.integer(&fields, "limit", (1, MAX_LIMIT), None);
+    let limit = reader.integer(&fields, "limit", (1, MAX_REQUEST_LIMIT), None);
     Some(Workspace {
         keys,
         share: u32::try_from(share).ok()?,
@@ -59,8 +59,10 @@
     })
 }
 
-fn digest(key: &str) -> Option<String> {
+/// Returns the digest of a `sha256:` key in lower case.
+fn parse_digest(key: &str) -> Option<String> {
     let digits = key.strip_prefix(KEY_PREFIX)?;
-    let valid = digits.len() == KEY_DIGITS && digits.bytes().all(|byte| byte.is_ascii_hexdigit());
+    let valid =
+        digits.len() == DIGEST_HEX_DIGITS && digits.bytes().all(|byte| byte.is_ascii_hexdigit());
     valid.then(|| digits.to_ascii_lowercase())
 }
--- a/lib/src/time.rs
+++ b/lib/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as the decision core sees it: handed in by the caller.
+//! Time in the decision core, which the caller provides.
 
 use std::{
     ops::{Add, AddAssign, Sub},
@@ -7,13 +7,13 @@
 
 use derive_more::Display;
 
-/// A moment on a monotonic clock, in microseconds from an arbitrary origin.
+/// A point in time on a monotonic clock, in microseconds from an arbitrary origin.
 #[derive(Clone, Copy, Debug, Display, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("{_0}us")]
 pub struct Instant(u64);
 
 impl Instant {
-    /// Builds a moment from microseconds since the origin.
+    /// Creates an instant from microseconds since the origin.
     #[must_use]
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
@@ -25,7 +25,8 @@
         self.0
     }
 
-    /// Returns the time from `earlier` to this moment, zero if it lies ahead.
+    /// Returns the time elapsed since `earlier`, zero if `earlier` is later than
+    /// this instant.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
@@ -33,28 +34,28 @@
 }
 
 /// Converts a duration to whole microseconds, saturating.
-fn micros(span: Duration) -> u64 {
-    u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
+fn micros(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
 impl Add<Duration> for Instant {
     type Output = Self;
 
-    fn add(self, span: Duration) -> Self {
-        Self(self.0.saturating_add(micros(span)))
+    fn add(self, duration: Duration) -> Self {
+        Self(self.0.saturating_add(micros(duration)))
     }
 }
 
 impl AddAssign<Duration> for Instant {
-    fn add_assign(&mut self, span: Duration) {
-        *self = *self + span;
+    fn add_assign(&mut self, duration: Duration) {
+        *self = *self + duration;
     }
 }
 
 impl Sub<Duration> for Instant {
     type Output = Self;
 
-    fn sub(self, span: Duration) -> Self {
-        Self(self.0.saturating_sub(micros(span)))
+    fn sub(self, duration: Duration) -> Self {
+        Self(self.0.saturating_sub(micros(duration)))
     }
 }
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -55,7 +55,9 @@
 fn a_generation_reaches_every_node(#[case] nodes: usize) {
     let mut fleet = agreed_fleet(nodes);
     fleet.configure(0, 1);
-    let took = fleet.run_until(scenario::DISSEMINATION_LIMIT, |fleet| fleet.is_configured(1));
+    let took = fleet.run_until(scenario::DISSEMINATION_LIMIT, |fleet| {
+        fleet.is_configured(1)
+    });
     assert!(took.is_some(), "seed 1");
 }
 
--- a/lib/tests/test_text.rs
+++ b/lib/tests/test_text.rs
@@ -1,4 +1,5 @@
-//! The operators' text: what is accepted, and every fault with its line.
+//! Parsing of the operators' configuration: accepted documents, and the error
+//! with its line for each kind of mistake.
 
 use std::time::Duration;
 
@@ -22,7 +23,8 @@
   plovdiv: {keys: ["sha256:aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"], share: 4, limit: 200}
 "#;
 
-fn faults(document: &str) -> Vec<String> {
+/// Returns the errors of a document, which must not be accepted.
+fn errors_of(document: &str) -> Vec<String> {
     match wire::parse(document) {
         Ok(text) => panic!("accepted: {text:?}"),
         Err(list) => list.0.iter().map(ToString::to_string).collect(),
@@ -30,7 +32,7 @@
 }
 
 #[test]
-fn a_whole_text_is_read() {
+fn a_valid_document_is_parsed() {
     let text: Text = SAMPLE.parse().unwrap();
     assert_eq!(text.tier("tag"), Some(id::Tier(1)));
     let service = &text.services[&id::Service::from("tally-llm")];
@@ -64,7 +66,7 @@
 #[case(
     "tier: gate, deadline: 10s",
     "tier: gaet, deadline: 10s",
-    "line 9: calls.pay.tier: `gaet` is no tier; use one of `gate`, `tag`"
+    "line 9: calls.pay.tier: `gaet` is not a declared tier; use one of `gate`, `tag`"
 )]
 #[case(
     "kind: plain",
@@ -79,12 +81,12 @@
 #[case(
     "kind: plain",
     "kind: plain, depends_on: [tally-llm]",
-    "line 4: services.tally-llm.depends_on: services depend on each other in a cycle: tally-llm, yard-app; remove one of the links"
+    "line 4: services.tally-llm.depends_on: services depend on each other in a cycle: tally-llm, yard-app; remove one of the dependencies"
 )]
 #[case(
     "depends_on: [yard-app]",
     "depends_on: [yard]",
-    "line 4: services.tally-llm.depends_on: `yard` is no service; declare it under `services` or remove it"
+    "line 4: services.tally-llm.depends_on: `yard` is not a declared service; declare it under `services` or remove it"
 )]
 #[case(
     "deadline: 10s",
@@ -94,7 +96,7 @@
 #[case(
     "path: /payments",
     "path: payments",
-    "line 9: calls.pay.path: `payments` is no path; start with `/`, without query, `*` only as the last segment"
+    "line 9: calls.pay.path: `payments` is not a valid path; start it with `/`, leave out the query and use `*` only as the last segment"
 )]
 #[case(
     "model: disputes, ",
@@ -104,12 +106,12 @@
 #[case(
     "model: disputes",
     "model: dispute",
-    "line 8: calls.dispute.model: `dispute` is no model or adapter of the service; add it there"
+    "line 8: calls.dispute.model: `dispute` is not a model or adapter of the service; add it there"
 )]
 #[case(
     "tiers: [gate, tag]",
     "tiers: [gate, tag, c, d, e]",
-    "line 2: tiers: 5 tiers; 4 are the most, remove some"
+    "line 2: tiers: 5 tiers; at most 4 are allowed, remove some"
 )]
 #[case(
     "share: 4",
@@ -119,45 +121,49 @@
 #[case(
     "sha256:aa",
     "sha256:xx",
-    "line 12: workspaces.plovdiv.keys: unusable key; write the output of `dottereltallyctl digest`, `sha256:` and 64 hexadecimal digits"
+    "line 12: workspaces.plovdiv.keys: invalid key; write the output of `dottereltallyctl digest`, `sha256:` and 64 hexadecimal digits"
 )]
 #[case(
     "idempotent: false",
     "idempotent: maybe",
-    "line 9: calls.pay.idempotent: `maybe` is no truth value; write `true` or `false`"
+    "line 9: calls.pay.idempotent: `maybe` is not a boolean; write `true` or `false`"
 )]
 #[case(
     "deadline: 5s, idempotent: true",
     "deadline: 5s, idempotent: true, unkeyed: allow",
-    "line 10: calls.tickets.unkeyed: an idempotent call needs no key anyway; remove the field"
+    "line 10: calls.tickets.unkeyed: an idempotent call does not need a key; remove the field"
 )]
-fn a_fault_names_line_and_remedy(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
+fn an_error_states_its_line_and_how_to_fix_it(
+    #[case] from: &str,
+    #[case] to: &str,
+    #[case] expected: &str,
+) {
     let document = SAMPLE.replacen(from, to, 1);
     assert_ne!(document, SAMPLE);
-    assert_eq!(faults(&document), [expected]);
+    assert_eq!(errors_of(&document), [expected]);
 }
 
 #[test]
-fn every_fault_is_listed_at_once() {
+fn all_errors_are_reported_at_once() {
     let document = SAMPLE
         .replace("kind: plain", "kind: plian")
         .replace("deadline: 60s", "deadline: soon")
         .replace("share: 4", "share: many");
-    let faults = faults(&document);
-    let lines: Vec<&str> = faults
+    let errors = errors_of(&document);
+    let lines: Vec<&str> = errors
         .iter()
-        .map(|fault| fault.split(':').next().unwrap())
+        .map(|error| error.split(':').next().unwrap())
         .collect();
     assert_eq!(lines, ["line 5", "line 7", "line 12"]);
 }
 
 #[test]
-fn an_empty_document_lacks_each_section_once() {
+fn an_empty_document_reports_each_missing_section_once() {
     let paths: Vec<String> = wire::parse("")
         .unwrap_err()
         .0
         .into_iter()
-        .map(|fault| fault.path)
+        .map(|error| error.path)
         .collect();
     assert_eq!(paths, ["calls", "services", "tiers", "workspaces"]);
 }
@@ -168,18 +174,18 @@
 #[case("tiers: {a: b}\nservices: 3\ncalls: []\nworkspaces: x")]
 #[case("tiers: [a]\ntiers: [b]")]
 #[case("a: &a [*a]")]
-fn any_other_document_is_refused(#[case] document: &str) {
-    assert!(!faults(document).is_empty());
+fn a_malformed_document_is_rejected(#[case] document: &str) {
+    assert!(!errors_of(document).is_empty());
 }
 
 #[test]
-fn a_text_over_the_size_of_a_value_is_refused() {
-    let document = format!("{SAMPLE}# {}", "x".repeat(wire::MAX_BYTES));
-    assert_eq!(faults(&document).len(), 1);
+fn a_document_over_the_maximum_size_is_rejected() {
+    let document = format!("{SAMPLE}# {}", "x".repeat(wire::MAX_DOCUMENT_BYTES));
+    assert_eq!(errors_of(&document).len(), 1);
 }
 
 #[test]
-fn a_difference_names_each_changed_field() {
+fn a_difference_lists_each_changed_field() {
     let new = SAMPLE
         .replace("generation: 4", "generation: 5")
         .replace("deadline: 10s", "deadline: 12s")
