--- a/lib/examples/costs.rs
+++ b/lib/examples/costs.rs
@@ -1,9 +1,10 @@
-//! Prints what one node's core spends at the sizes of today and of the target.
+//! Measures the time and memory of one node's scheduler at present and targeted
+//! sizes of a deployment.
 //!
 //! `cargo run --release -p dottereltally-lib --example costs -- [ROW]`
 //!
-//! Memory is what the process grew by, so that it is told right for the first
-//! row of a run only; give the row's number, from zero, for the others.
+//! Memory is the growth of the process, which is correct only for the first row
+//! of a run. To measure it for another row, pass the row's number, from zero.
 #![allow(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
@@ -41,17 +42,18 @@
     (350, 600, 33_000),
 ];
 
-/// Requests that each row decides on.
-const REQUESTS: u64 = 20_000;
+/// Requests that are scheduled per row.
+const REQUEST_COUNT: u64 = 20_000;
 
-/// Requests that run at a time while decisions are timed.
-const RUNNING: u64 = 200;
+/// Requests that run concurrently while scheduling is timed.
+const RUNNING_REQUESTS: u64 = 200;
 
-/// Requests that wait while the backlog is timed.
-const WAITING: u64 = 4000;
+/// Requests beyond 40 per replica that arrive before the tick with a backlog is
+/// timed.
+const BACKLOG_REQUESTS: u64 = 4000;
 
-/// Ticks, reports and cache events that are timed.
-const REPEATS: u32 = 2000;
+/// Repetitions of each timed event.
+const REPETITIONS: u32 = 2000;
 
 fn text(workspaces: usize) -> Arc<Text> {
     let workspace = Workspace {
@@ -113,11 +115,11 @@
     pages.unwrap_or(0_u64) * 4096
 }
 
-fn micros(span: Duration, count: u64) -> f64 {
-    span.as_secs_f64() * 1e6 / count as f64
+fn micros(duration: Duration, count: u64) -> f64 {
+    duration.as_secs_f64() * 1e6 / count as f64
 }
 
-fn end(request: u64) -> Event {
+fn ended(request: u64) -> Event {
     let outcome = Outcome::Answered {
         cached: Tokens(1000),
         output: Tokens(200),
@@ -126,48 +128,49 @@
 }
 
 struct Bench {
-    core: Scheduler,
+    scheduler: Scheduler,
     now: u64,
 }
 
 impl Bench {
     fn handle(&mut self, event: Event) -> Vec<Effect> {
         self.now += 400;
-        self.core
+        self.scheduler
             .handle(time::Instant::from_micros(self.now), event)
     }
 
-    /// Times arrivals, first tokens and ends with a steady number running.
-    fn decisions(&mut self, workspaces: usize) -> Duration {
-        let profiles: Vec<Arc<Profile>> = (0..REQUESTS)
+    /// Times arrivals, first tokens and ends at a steady number of running requests.
+    fn time_requests(&mut self, workspaces: usize) -> Duration {
+        let profiles: Vec<Arc<Profile>> = (0..REQUEST_COUNT)
             .map(|number| profile(number, workspaces))
             .collect();
-        let begun = Instant::now();
+        let start = Instant::now();
         for (number, profile) in (0_u64..).zip(profiles) {
             black_box(self.handle(Event::Arrived(id::Request(number), profile)));
             black_box(self.handle(Event::Started(id::Request(number))));
-            if number >= RUNNING {
-                black_box(self.handle(end(number - RUNNING)));
+            if number >= RUNNING_REQUESTS {
+                black_box(self.handle(ended(number - RUNNING_REQUESTS)));
             }
         }
-        begun.elapsed()
+        start.elapsed()
     }
 
-    fn repeat(&mut self, mut event: impl FnMut(u32) -> Event) -> Duration {
-        let begun = Instant::now();
-        for number in 0..REPEATS {
+    /// Times `REPETITIONS` events.
+    fn time_events(&mut self, mut event: impl FnMut(u32) -> Event) -> Duration {
+        let start = Instant::now();
+        for number in 0..REPETITIONS {
             let event = event(number);
             black_box(self.handle(event));
         }
-        begun.elapsed()
+        start.elapsed()
     }
 }
 
-fn row((nodes, replicas, workspaces): (usize, usize, usize)) {
+fn measure((nodes, replicas, workspaces): (usize, usize, usize)) {
     let text = text(workspaces);
     let before = memory();
     let mut bench = Bench {
-        core: Scheduler::new(Settings {
+        scheduler: Scheduler::new(Settings {
             node: "n0".into(),
             data_centre: "dc0".into(),
             seed: 1,
@@ -179,8 +182,8 @@
     let members = (0..nodes).map(|node| (format!("n{node}").into(), "dc0".into()));
     bench.handle(Event::Members(members.collect()));
     bench.handle(Event::Listed(records(replicas)));
-    let decision = micros(bench.decisions(workspaces), REQUESTS);
-    let report = bench.repeat(|number| {
+    let request = micros(bench.time_requests(workspaces), REQUEST_COUNT);
+    let report = bench.time_events(|number| {
         let load = Load {
             tokens: Tokens(u64::from(number)),
             ..Load::default()
@@ -190,7 +193,7 @@
             load,
         )
     });
-    let cached = bench.repeat(|number| {
+    let cached = bench.time_events(|number| {
         let cache = Cache {
             sequence: u64::from(number) / replicas as u64 + 1,
             change: Change::Stored(id::Prefix(u64::from(number))),
@@ -200,25 +203,25 @@
             cache,
         )
     });
-    let tick = bench.repeat(|_| Event::Tick);
-    let marks = bench.repeat(|number| {
-        let mark = id::Fingerprint(u64::from(number) << 20);
-        Event::Suspected(vec![(mark, Duration::from_mins(1))])
+    let tick = bench.time_events(|_| Event::Tick);
+    let suspected = bench.time_events(|number| {
+        let fingerprint = id::Fingerprint(u64::from(number) << 20);
+        Event::Suspected(vec![(fingerprint, Duration::from_mins(1))])
     });
-    for number in 0..replicas as u64 * 40 + WAITING {
+    for number in 0..replicas as u64 * 40 + BACKLOG_REQUESTS {
         let event = Event::Arrived(id::Request(1_000_000 + number), profile(number, workspaces));
         bench.handle(event);
     }
-    let waiting = bench.core.waiting();
-    let backlog = bench.repeat(|_| Event::Tick);
+    let waiting = bench.scheduler.waiting();
+    let backlog = bench.time_events(|_| Event::Tick);
     let used = memory().saturating_sub(before) as f64 / 1e6;
-    let count = u64::from(REPEATS);
+    let count = u64::from(REPETITIONS);
     println!(
-        "| {nodes}/{replicas} | {workspaces} | {decision:.1} | {:.2} | {:.2} | {:.1} | {:.2} | {:.1} ({waiting}) | {used:.1} |",
+        "| {nodes}/{replicas} | {workspaces} | {request:.1} | {:.2} | {:.2} | {:.1} | {:.2} | {:.1} ({waiting}) | {used:.1} |",
         micros(report, count),
         micros(cached, count),
         micros(tick, count),
-        micros(marks, count),
+        micros(suspected, count),
         micros(backlog, count),
     );
 }
@@ -231,7 +234,7 @@
     let wanted: Option<usize> = std::env::args().nth(1).and_then(|row| row.parse().ok());
     for (number, size) in SIZES.into_iter().enumerate() {
         if wanted.is_none_or(|wanted| wanted == number) {
-            row(size);
+            measure(size);
         }
     }
 }
--- a/lib/examples/experiment/driver.rs
+++ b/lib/examples/experiment/driver.rs
@@ -1,4 +1,4 @@
-//! Drives the cores of all nodes in virtual time against fake engines.
+//! Runs the schedulers of all nodes in virtual time against simulated engines.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,26 +23,29 @@
 
 use crate::{
     fake::{Engine, Job, Notice},
-    scenario::{self, BURST_END, FAULT_AT, Fault, KINDS, Scenario},
+    scenario::{self, BURST_END, FAULT_START, Fault, KINDS, Scenario},
 };
 
-/// Microseconds of one step of the engines.
-const STEP: u64 = 10_000;
+/// Step of the simulation in microseconds.
+const STEP_MICROS: u64 = 10_000;
 
-/// Seconds in which arrivals are measured, and at which the run ends.
-const MEASURED: (f64, f64) = (30.0, 90.0);
-const END: f64 = 150.0;
+/// Only requests that arrive between these seconds are measured.
+const MEASURED_SECONDS: (f64, f64) = (30.0, 90.0);
 
-/// Part of the messages between nodes and of cache events that is lost.
-const LOSS: f64 = 0.01;
+/// Second at which the run ends.
+const END_SECONDS: f64 = 150.0;
 
-/// Microseconds until a load report arrives.
-const REPORT_DELAY: u64 = 2_000_000;
+/// Probability that a message between nodes or a load report is lost; cache
+/// events are lost a hundred times less often.
+const LOSS_PROBABILITY: f64 = 0.01;
 
-/// Microseconds after which a silent link is noticed.
-const SILENCE: u64 = 2_000_000;
+/// Delay of a load report in microseconds.
+const REPORT_DELAY_MICROS: u64 = 2_000_000;
 
-/// What came out of a run.
+/// Time in microseconds until a silent link is detected.
+const SILENCE_TIMEOUT_MICROS: u64 = 2_000_000;
+
+/// Results of a run; requests are counted by kind, work in decoded tokens.
 #[derive(Clone, Debug, Default)]
 pub struct Outcomes {
     pub offered: [u64; 6],
@@ -58,17 +61,19 @@
     pub messages: u64,
 }
 
+/// A scheduled action.
 enum Message {
-    ToCore(usize, Event),
+    ToScheduler(usize, Event),
     ToEngine(usize, Job),
-    Leave(usize, u64),
+    Deadline(usize, u64),
 }
 
-struct Track {
+/// A request that has not ended.
+struct Tracked {
     kind: usize,
     arrived: f64,
     profile: Arc<Profile>,
-    own: u64,
+    unique: u64,
     output: u64,
     prefixes: Vec<id::Prefix>,
     engine: Option<usize>,
@@ -76,45 +81,48 @@
     prefill: u64,
 }
 
+/// A simulation run.
 pub struct Run {
     scenario: Scenario,
     now: u64,
     sequence: u64,
-    heap: BTreeMap<(u64, u64), Message>,
-    cores: Vec<Option<Scheduler>>,
+    /// Pending messages by due time and sequence.
+    messages: BTreeMap<(u64, u64), Message>,
+    schedulers: Vec<Option<Scheduler>>,
     engines: Vec<Engine>,
     cache_sequences: Vec<u64>,
-    tracks: BTreeMap<(usize, u64), Track>,
+    requests: BTreeMap<(usize, u64), Tracked>,
     waiting: BTreeMap<(&'static str, u8), u64>,
-    work: SmallRng,
-    net: SmallRng,
+    workload_rng: SmallRng,
+    network_rng: SmallRng,
     affinity: bool,
-    cut: bool,
+    partitioned: bool,
     outcomes: Outcomes,
 }
 
-fn name(engine: usize) -> id::Endpoint {
+fn endpoint_id(engine: usize) -> id::Endpoint {
     format!("e{engine:03}").into()
 }
 
-fn node_name(node: usize) -> id::Node {
+fn node_id(node: usize) -> id::Node {
     format!("n{node:03}").into()
 }
 
-fn number(name: &str) -> usize {
-    name[1..].parse().expect("a number")
+/// Returns the index in an identifier of [`endpoint_id`] or [`node_id`].
+fn index_of(name: &str) -> usize {
+    name[1..].parse().expect("an identifier ends in its index")
 }
 
 impl Run {
     pub fn new(scenario: Scenario, policy: Policy, affinity: bool, seed: u64) -> Self {
         let mut engines = Vec::new();
-        let sizes = [
+        let engine_sizes = [
             (2400.0, 80.0, 200_000),
             (1200.0, 60.0, 120_000),
             (600.0, 45.0, 80_000),
         ];
         for number in 0..scenario.engines {
-            let size = sizes[(number / scenario.data_centres) % sizes.len()];
+            let size = engine_sizes[(number / scenario.data_centres) % engine_sizes.len()];
             engines.push(Engine::new("llm", number % scenario.data_centres, size));
         }
         for number in 0..3 {
@@ -128,45 +136,46 @@
             scenario,
             now: 0,
             sequence: 0,
-            heap: BTreeMap::new(),
-            cores: Vec::new(),
+            messages: BTreeMap::new(),
+            schedulers: Vec::new(),
             cache_sequences: vec![0; engines.len()],
             engines,
-            tracks: BTreeMap::new(),
+            requests: BTreeMap::new(),
             waiting: BTreeMap::new(),
-            work: SmallRng::seed_from_u64(seed),
-            net: SmallRng::seed_from_u64(seed + 1000),
+            workload_rng: SmallRng::seed_from_u64(seed),
+            network_rng: SmallRng::seed_from_u64(seed + 1000),
             affinity,
-            cut: false,
+            partitioned: false,
             outcomes: Outcomes::default(),
         };
         for node in 0..scenario.nodes {
-            run.cores.push(Some(Scheduler::new(Settings {
-                node: node_name(node),
+            run.schedulers.push(Some(Scheduler::new(Settings {
+                node: node_id(node),
                 data_centre: format!("dc{}", node % scenario.data_centres).into(),
                 seed: seed * 1000 + node as u64,
                 policy,
             })));
         }
         for node in 0..scenario.nodes {
-            run.tell(node, Event::Configured(text()));
+            run.handle_event(node, Event::Configured(configuration()));
             let records = run.records();
-            run.tell(node, Event::Listed(records));
+            run.handle_event(node, Event::Listed(records));
         }
-        run.announce();
+        run.send_members();
         let llm = run.engines.iter().filter(|engine| engine.service == "llm");
-        let rate: f64 = llm.map(|engine| engine.decode).sum();
-        run.outcomes.capacity_work = rate * (MEASURED.1 - MEASURED.0);
+        let rate: f64 = llm.map(|engine| engine.decode_rate).sum();
+        run.outcomes.capacity_work = rate * (MEASURED_SECONDS.1 - MEASURED_SECONDS.0);
         run
     }
 
+    /// Runs to the end and returns the results.
     pub fn finish(mut self) -> Outcomes {
-        let steps = (END * 1e6) as u64 / STEP;
+        let steps = (END_SECONDS * 1e6) as u64 / STEP_MICROS;
         for step in 0..steps {
-            self.now = step * STEP;
-            self.fault(step);
-            self.arrivals();
-            while let Some(entry) = self.heap.first_entry() {
+            self.now = step * STEP_MICROS;
+            self.apply_fault(step);
+            self.generate_arrivals();
+            while let Some(entry) = self.messages.first_entry() {
                 if entry.key().0 > self.now {
                     break;
                 }
@@ -175,8 +184,8 @@
             }
             self.step_engines(step);
             if step % 10 == 0 {
-                for node in 0..self.cores.len() {
-                    self.tell(node, Event::Tick);
+                for node in 0..self.schedulers.len() {
+                    self.handle_event(node, Event::Tick);
                 }
             }
         }
@@ -185,7 +194,7 @@
 
     fn records(&self) -> Vec<Record> {
         let record = |(number, engine): (usize, &Engine)| Record {
-            id: name(number),
+            id: endpoint_id(number),
             address: format!("10.0.0.1:{number}"),
             service: engine.service.into(),
             data_centre: format!("dc{}", engine.data_centre).into(),
@@ -195,47 +204,53 @@
         self.engines.iter().enumerate().map(record).collect()
     }
 
-    /// Tells every node of its reachable peers.
-    fn announce(&mut self) {
-        for node in 0..self.cores.len() {
+    /// Sends every node the list of the peers that it reaches.
+    fn send_members(&mut self) {
+        for node in 0..self.schedulers.len() {
             let mut members = Vec::new();
-            for peer in 0..self.cores.len() {
-                if self.cores[peer].is_some()
-                    && self.linked(node, peer % self.scenario.data_centres)
+            for peer in 0..self.schedulers.len() {
+                if self.schedulers[peer].is_some()
+                    && self.is_reachable(node, peer % self.scenario.data_centres)
                 {
                     let data_centre = format!("dc{}", peer % self.scenario.data_centres);
-                    members.push((node_name(peer), data_centre.into()));
+                    members.push((node_id(peer), data_centre.into()));
                 }
             }
-            self.post(SILENCE, Message::ToCore(node, Event::Members(members)));
+            self.schedule(
+                SILENCE_TIMEOUT_MICROS,
+                Message::ToScheduler(node, Event::Members(members)),
+            );
         }
     }
 
-    /// Whether a node reaches a data centre.
-    fn linked(&self, node: usize, data_centre: usize) -> bool {
+    /// Returns whether a node reaches a data centre.
+    fn is_reachable(&self, node: usize, data_centre: usize) -> bool {
         let own = node % self.scenario.data_centres;
-        !self.cut || own == data_centre || (own != 2 && data_centre != 2)
+        !self.partitioned || own == data_centre || (own != 2 && data_centre != 2)
     }
 
-    /// Microseconds from a node to a data centre.
+    /// Returns a random delay from a node to a data centre in microseconds.
     fn delay(&mut self, node: usize, data_centre: usize) -> u64 {
         let local = node % self.scenario.data_centres == data_centre;
         let base = if local { 300 } else { 4000 };
-        base + self.net.random_range(0..base)
+        base + self.network_rng.random_range(0..base)
     }
 
-    fn post(&mut self, delay: u64, message: Message) {
+    /// Schedules a message after a delay in microseconds.
+    fn schedule(&mut self, delay: u64, message: Message) {
         self.sequence += 1;
-        self.heap.insert((self.now + delay, self.sequence), message);
+        self.messages
+            .insert((self.now + delay, self.sequence), message);
     }
 
     fn seconds(&self) -> f64 {
         self.now as f64 / 1e6
     }
 
-    fn arrivals(&mut self) {
+    /// Generates the arrivals of one step.
+    fn generate_arrivals(&mut self) {
         let seconds = self.seconds();
-        let burst = (FAULT_AT..BURST_END).contains(&seconds);
+        let burst = (FAULT_START..BURST_END).contains(&seconds);
         let load = if burst {
             self.scenario.burst
         } else {
@@ -246,35 +261,36 @@
                 .engines
                 .iter()
                 .filter(|engine| engine.service == kind.service);
-            let capacity: f64 = of_service.map(|engine| engine.decode).sum();
-            let rate = capacity * kind.work * load / kind.weight();
-            let mut left = rate * STEP as f64 / 1e6;
-            while left > 0.0 && self.work.random::<f64>() < left.min(1.0) {
+            let capacity: f64 = of_service.map(|engine| engine.decode_rate).sum();
+            let rate = capacity * kind.work_share * load / kind.mean_work();
+            let mut expected = rate * STEP_MICROS as f64 / 1e6;
+            while expected > 0.0 && self.workload_rng.random::<f64>() < expected.min(1.0) {
                 self.arrive(number);
-                left -= 1.0;
+                expected -= 1.0;
             }
         }
     }
 
+    /// Submits a random request of a kind to a random node.
     fn arrive(&mut self, number: usize) {
         let kind = &KINDS[number];
-        let workspace = scenario::workspace(&mut self.work);
-        let own = if kind.own > 0 {
-            scenario::length(&mut self.work, kind.own)
+        let workspace = scenario::workspace(&mut self.workload_rng);
+        let unique = if kind.unique > 0 {
+            scenario::length(&mut self.workload_rng, kind.unique)
         } else {
             0
         };
         let output = if kind.output > 1 {
-            scenario::length(&mut self.work, kind.output)
+            scenario::length(&mut self.workload_rng, kind.output)
         } else {
             1
         };
-        let prefixes = scenario::prefixes(&mut self.work, number, workspace, own);
-        let alive: Vec<usize> = (0..self.cores.len())
-            .filter(|node| self.cores[*node].is_some())
+        let prefixes = scenario::prefixes(&mut self.workload_rng, number, workspace, unique);
+        let alive: Vec<usize> = (0..self.schedulers.len())
+            .filter(|node| self.schedulers[*node].is_some())
             .collect();
-        let node = alive[self.work.random_range(0..self.cores.len()) % alive.len()];
-        let fingerprint = id::Fingerprint(self.work.random());
+        let node = alive[self.workload_rng.random_range(0..self.schedulers.len()) % alive.len()];
+        let fingerprint = id::Fingerprint(self.workload_rng.random());
         let now = Instant::from_micros(self.now);
         let profile = Arc::new(Profile {
             call: format!("k{number}").into(),
@@ -284,7 +300,7 @@
             tier: id::Tier(kind.tier),
             received: now,
             deadline: now + Duration::from_secs(kind.deadline),
-            prompt: Tokens(kind.shared + own),
+            prompt: Tokens(kind.shared + unique),
             output: Tokens(kind.output * 2),
             prefixes: if self.affinity {
                 prefixes.clone()
@@ -296,73 +312,73 @@
         });
         self.sequence += 1;
         let request = self.sequence;
-        let track = Track {
+        let tracked = Tracked {
             kind: number,
             arrived: self.seconds(),
             profile: Arc::clone(&profile),
-            own,
+            unique,
             output,
             prefixes,
             engine: None,
             wasted: 0,
             prefill: 0,
         };
-        if Self::is_measured(&track) {
+        if Self::is_measured(&tracked) {
             self.outcomes.offered[number] += 1;
             if kind.service == "llm" {
-                self.outcomes.offered_work += scenario::weight(own, output);
+                self.outcomes.offered_work += scenario::work(unique, output);
             }
         }
-        self.tracks.insert((node, request), track);
+        self.requests.insert((node, request), tracked);
         *self.waiting.entry((kind.service, kind.tier)).or_default() += 1;
-        self.post(kind.deadline * 1_000_000, Message::Leave(node, request));
-        self.tell(node, Event::Arrived(id::Request(request), profile));
+        self.schedule(kind.deadline * 1_000_000, Message::Deadline(node, request));
+        self.handle_event(node, Event::Arrived(id::Request(request), profile));
     }
 
-    fn is_measured(track: &Track) -> bool {
-        (MEASURED.0..MEASURED.1).contains(&track.arrived)
+    fn is_measured(tracked: &Tracked) -> bool {
+        (MEASURED_SECONDS.0..MEASURED_SECONDS.1).contains(&tracked.arrived)
     }
 
     fn deliver(&mut self, message: Message) {
         match message {
-            Message::ToCore(node, event) => self.tell(node, event),
-            Message::Leave(node, request) => self.leave(node, request),
+            Message::ToScheduler(node, event) => self.handle_event(node, event),
+            Message::Deadline(node, request) => self.expire(node, request),
             Message::ToEngine(engine, job) if self.engines[engine].alive => {
                 self.engines[engine].waiting.push_back(job);
             }
             Message::ToEngine(_, job) => {
-                self.post(
+                self.schedule(
                     500,
-                    Message::ToCore(job.node, Event::Unsent(id::Request(job.request))),
+                    Message::ToScheduler(job.node, Event::Unsent(id::Request(job.request))),
                 );
             }
         }
     }
 
-    /// Hands an event to a core and carries out what it asks for.
-    fn tell(&mut self, node: usize, event: Event) {
-        let Some(core) = &mut self.cores[node] else {
+    /// Passes an event to a scheduler and carries out the resulting effects.
+    fn handle_event(&mut self, node: usize, event: Event) {
+        let Some(scheduler) = &mut self.schedulers[node] else {
             return;
         };
-        let effects = core.handle(Instant::from_micros(self.now), event);
+        let effects = scheduler.handle(Instant::from_micros(self.now), event);
         for effect in effects {
             match effect {
                 Effect::Admit(request, endpoint) => {
-                    self.admit(node, request.0, number(endpoint.as_str()));
+                    self.admit(node, request.0, index_of(endpoint.as_str()));
                 }
                 Effect::Refuse(request, refusal) => self.refuse(node, request.0, refusal.reason),
                 Effect::Probe(endpoint) => self.probe(node, endpoint),
-                Effect::Quarantine(mark) => self.spread(node, mark),
+                Effect::Quarantine(fingerprint) => self.spread_quarantine(node, fingerprint),
                 Effect::Send(peer, message) => {
                     self.outcomes.messages += 1;
-                    let peer = number(peer.as_str());
-                    if self.linked(node, peer % self.scenario.data_centres)
-                        && self.net.random::<f64>() >= LOSS
+                    let peer = index_of(peer.as_str());
+                    if self.is_reachable(node, peer % self.scenario.data_centres)
+                        && self.network_rng.random::<f64>() >= LOSS_PROBABILITY
                     {
                         let delay = self.delay(node, peer % self.scenario.data_centres);
-                        self.post(
+                        self.schedule(
                             delay,
-                            Message::ToCore(peer, Event::Peer(node_name(node), message)),
+                            Message::ToScheduler(peer, Event::Peer(node_id(node), message)),
                         );
                     }
                 }
@@ -371,42 +387,42 @@
     }
 
     fn admit(&mut self, node: usize, request: u64, engine: usize) {
-        let Some(track) = self.tracks.get_mut(&(node, request)) else {
+        let Some(tracked) = self.requests.get_mut(&(node, request)) else {
             return;
         };
-        track.engine = Some(engine);
+        tracked.engine = Some(engine);
         let job = Job {
             node,
             request,
-            prompt: track.profile.prompt.0,
-            output: track.output,
-            prefixes: track.prefixes.clone(),
+            prompt: tracked.profile.prompt.0,
+            output: tracked.output,
+            prefixes: tracked.prefixes.clone(),
             cached: 0,
             prefill: 0.0,
             produced: 0.0,
-            reported: 0,
+            decoded: 0,
             sent: 0,
         };
-        let kind = &KINDS[track.kind];
+        let kind = &KINDS[tracked.kind];
         *self.waiting.entry((kind.service, kind.tier)).or_default() -= 1;
         let data_centre = self.engines[engine].data_centre;
-        if self.linked(node, data_centre) {
+        if self.is_reachable(node, data_centre) {
             let delay = self.delay(node, data_centre);
-            self.post(delay, Message::ToEngine(engine, job));
+            self.schedule(delay, Message::ToEngine(engine, job));
         } else {
             let unsent = Event::Unsent(id::Request(request));
             *self.waiting.entry((kind.service, kind.tier)).or_default() += 1;
-            self.post(SILENCE, Message::ToCore(node, unsent));
+            self.schedule(SILENCE_TIMEOUT_MICROS, Message::ToScheduler(node, unsent));
         }
     }
 
     fn refuse(&mut self, node: usize, request: u64, reason: Reason) {
-        let Some(track) = self.tracks.remove(&(node, request)) else {
+        let Some(tracked) = self.requests.remove(&(node, request)) else {
             return;
         };
-        let kind = &KINDS[track.kind];
+        let kind = &KINDS[tracked.kind];
         *self.waiting.entry((kind.service, kind.tier)).or_default() -= 1;
-        if !Self::is_measured(&track) {
+        if !Self::is_measured(&tracked) {
             return;
         }
         self.outcomes.refused += 1;
@@ -420,58 +436,66 @@
         }
     }
 
-    /// The caller leaves at its deadline.
-    fn leave(&mut self, node: usize, request: u64) {
-        let Some(track) = self.tracks.remove(&(node, request)) else {
+    /// Cancels a request whose deadline has passed.
+    fn expire(&mut self, node: usize, request: u64) {
+        let Some(tracked) = self.requests.remove(&(node, request)) else {
             return;
         };
-        let Some(engine) = track.engine else {
-            let kind = &KINDS[track.kind];
+        let Some(engine) = tracked.engine else {
+            let kind = &KINDS[tracked.kind];
             *self.waiting.entry((kind.service, kind.tier)).or_default() -= 1;
-            return self.tell(node, Event::Withdrawn(id::Request(request)));
+            return self.handle_event(node, Event::Withdrawn(id::Request(request)));
         };
         self.engines[engine].cancel(node, request);
-        self.account(&track, false);
-        self.tell(node, Event::Ended(id::Request(request), Outcome::Cancelled));
+        self.count(&tracked, false);
+        self.handle_event(node, Event::Ended(id::Request(request), Outcome::Cancelled));
     }
 
-    /// Adds up a request that an engine worked on.
-    fn account(&mut self, track: &Track, good: bool) {
-        if !Self::is_measured(track) {
+    /// Counts a request that an engine has worked on.
+    fn count(&mut self, tracked: &Tracked, good: bool) {
+        if !Self::is_measured(tracked) {
             return;
         }
-        let kind = &KINDS[track.kind];
-        self.outcomes.prefill += track.prefill;
-        self.outcomes.wasted += if good { track.wasted } else { track.prefill };
+        let kind = &KINDS[tracked.kind];
+        self.outcomes.prefill += tracked.prefill;
+        self.outcomes.wasted += if good {
+            tracked.wasted
+        } else {
+            tracked.prefill
+        };
         if !good {
             return;
         }
-        self.outcomes.good[track.kind] += 1;
+        self.outcomes.good[tracked.kind] += 1;
         if kind.service == "llm" {
-            self.outcomes.good_work += scenario::weight(track.own, track.output);
+            self.outcomes.good_work += scenario::work(tracked.unique, tracked.output);
         }
     }
 
     fn probe(&mut self, node: usize, endpoint: id::Endpoint) {
-        let engine = &self.engines[number(endpoint.as_str())];
+        let engine = &self.engines[index_of(endpoint.as_str())];
         let (alive, data_centre) = (engine.alive, engine.data_centre);
-        let linked = self.linked(node, data_centre);
-        let delay = if linked {
+        let reachable = self.is_reachable(node, data_centre);
+        let delay = if reachable {
             2 * self.delay(node, data_centre)
         } else {
-            SILENCE
+            SILENCE_TIMEOUT_MICROS
         };
-        self.post(
+        self.schedule(
             delay,
-            Message::ToCore(node, Event::Probed(endpoint, alive && linked)),
+            Message::ToScheduler(node, Event::Probed(endpoint, alive && reachable)),
         );
     }
 
-    fn spread(&mut self, node: usize, mark: id::Fingerprint) {
-        for peer in 0..self.cores.len() {
-            if peer != node && self.linked(node, peer % self.scenario.data_centres) {
-                let marks = vec![(mark, Duration::from_mins(10))];
-                self.post(1_000_000, Message::ToCore(peer, Event::Suspected(marks)));
+    /// Sends the fingerprint of a quarantined request to the reachable peers.
+    fn spread_quarantine(&mut self, node: usize, fingerprint: id::Fingerprint) {
+        for peer in 0..self.schedulers.len() {
+            if peer != node && self.is_reachable(node, peer % self.scenario.data_centres) {
+                let suspected = vec![(fingerprint, Duration::from_mins(10))];
+                self.schedule(
+                    1_000_000,
+                    Message::ToScheduler(peer, Event::Suspected(suspected)),
+                );
             }
         }
     }
@@ -481,52 +505,53 @@
             if !self.engines[engine].alive {
                 continue;
             }
-            for (node, request, notice) in self.engines[engine].step(STEP as f64 / 1e6) {
-                self.notice(engine, node, request, notice);
+            for (node, request, notice) in self.engines[engine].step(STEP_MICROS as f64 / 1e6) {
+                self.notify(engine, node, request, notice);
             }
-            self.publish(engine);
+            self.publish_cache_events(engine);
             if step % 50 == engine as u64 % 50 {
-                self.report(engine);
+                self.report_load(engine);
             }
         }
     }
 
-    fn notice(&mut self, engine: usize, node: usize, request: u64, notice: Notice) {
+    /// Passes an event of a job to the node of its request.
+    fn notify(&mut self, engine: usize, node: usize, request: u64, notice: Notice) {
         let key = (node, request);
         let data_centre = self.engines[engine].data_centre;
-        if !self.linked(node, data_centre) {
+        if !self.is_reachable(node, data_centre) {
             return;
         }
-        let Some(track) = self.tracks.get_mut(&key) else {
+        let Some(tracked) = self.requests.get_mut(&key) else {
             return;
         };
         let id = id::Request(request);
         let event = match notice {
-            Notice::Begun { cached } => {
-                let shared = &track.prefixes[..(KINDS[track.kind].shared / 64) as usize];
+            Notice::PrefillStarted { cached } => {
+                let shared = &tracked.prefixes[..(KINDS[tracked.kind].shared / 64) as usize];
                 let others = self.engines.iter().filter(|other| other.alive);
                 let best = others.map(|other| other.cached(shared)).max().unwrap_or(0);
-                track.prefill = track.profile.prompt.0 - cached;
-                track.wasted = best.saturating_sub(cached);
+                tracked.prefill = tracked.profile.prompt.0 - cached;
+                tracked.wasted = best.saturating_sub(cached);
                 return;
             }
-            Notice::Started => {
-                let took = self.now as f64 / 1e6 - track.arrived;
-                if KINDS[track.kind].service == "llm"
-                    && KINDS[track.kind].tier == 0
-                    && (MEASURED.0..MEASURED.1).contains(&track.arrived)
+            Notice::FirstToken => {
+                let elapsed = self.now as f64 / 1e6 - tracked.arrived;
+                if KINDS[tracked.kind].service == "llm"
+                    && KINDS[tracked.kind].tier == 0
+                    && (MEASURED_SECONDS.0..MEASURED_SECONDS.1).contains(&tracked.arrived)
                 {
-                    self.outcomes.first_token.push(took);
+                    self.outcomes.first_token.push(elapsed);
                 }
                 Event::Started(id)
             }
-            Notice::Ended { cached, output } => {
+            Notice::Finished { cached, output } => {
                 let output = Tokens(output);
-                let track = self
-                    .tracks
+                let tracked = self
+                    .requests
                     .remove(&key)
                     .expect("a running request is tracked");
-                self.account(&track, true);
+                self.count(&tracked, true);
                 Event::Ended(
                     id,
                     Outcome::Answered {
@@ -537,83 +562,88 @@
             }
         };
         let delay = self.delay(node, data_centre);
-        self.post(delay, Message::ToCore(node, event));
+        self.schedule(delay, Message::ToScheduler(node, event));
     }
 
-    /// Publishes cache events, late and with gaps.
-    fn publish(&mut self, engine: usize) {
+    /// Publishes cache events with a delay and with losses.
+    fn publish_cache_events(&mut self, engine: usize) {
         for change in std::mem::take(&mut self.engines[engine].changes) {
             self.cache_sequences[engine] += 1;
             if !self.affinity {
                 continue;
             }
-            for node in 0..self.cores.len() {
-                if self.linked(node, self.engines[engine].data_centre)
-                    && self.net.random::<f64>() >= LOSS / 100.0
+            for node in 0..self.schedulers.len() {
+                if self.is_reachable(node, self.engines[engine].data_centre)
+                    && self.network_rng.random::<f64>() >= LOSS_PROBABILITY / 100.0
                 {
                     let sequence = self.cache_sequences[engine];
-                    let event = Event::Cached(name(engine), Cache { sequence, change });
-                    self.post(500_000, Message::ToCore(node, event));
+                    let event = Event::Cached(endpoint_id(engine), Cache { sequence, change });
+                    self.schedule(500_000, Message::ToScheduler(node, event));
                 }
             }
         }
     }
 
-    fn report(&mut self, engine: usize) {
-        let of = &self.engines[engine];
+    /// Sends the load of an engine to all nodes, and progress to the nodes of its
+    /// jobs.
+    fn report_load(&mut self, engine: usize) {
+        let source = &self.engines[engine];
         let load = Load {
-            running: of.running.len() as u32,
-            waiting: of.waiting.len() as u32,
-            tokens: Tokens(if of.service == "app" {
-                (of.running.len() + of.waiting.len()) as u64
+            running: source.running.len() as u32,
+            waiting: source.waiting.len() as u32,
+            tokens: Tokens(if source.service == "app" {
+                (source.running.len() + source.waiting.len()) as u64
             } else {
-                of.tokens()
+                source.tokens()
             }),
             models: BTreeSet::new(),
             standing: Standing::Live,
         };
-        for node in 0..self.cores.len() {
-            if self.linked(node, self.engines[engine].data_centre)
-                && self.net.random::<f64>() >= LOSS
+        for node in 0..self.schedulers.len() {
+            if self.is_reachable(node, self.engines[engine].data_centre)
+                && self.network_rng.random::<f64>() >= LOSS_PROBABILITY
             {
-                self.post(
-                    REPORT_DELAY,
-                    Message::ToCore(node, Event::Reported(name(engine), load.clone())),
+                self.schedule(
+                    REPORT_DELAY_MICROS,
+                    Message::ToScheduler(node, Event::Reported(endpoint_id(engine), load.clone())),
                 );
             }
         }
         let mut events = Vec::new();
         for job in &mut self.engines[engine].running {
-            let more = Tokens(job.reported - job.sent);
-            job.sent = job.reported;
-            if more.0 > 0 {
-                events.push((job.node, Event::Progressed(id::Request(job.request), more)));
+            let new_tokens = Tokens(job.decoded - job.sent);
+            job.sent = job.decoded;
+            if new_tokens.0 > 0 {
+                events.push((
+                    job.node,
+                    Event::Progressed(id::Request(job.request), new_tokens),
+                ));
             }
         }
         for (node, event) in events {
-            if self.linked(node, self.engines[engine].data_centre) {
-                self.post(1000, Message::ToCore(node, event));
+            if self.is_reachable(node, self.engines[engine].data_centre) {
+                self.schedule(1000, Message::ToScheduler(node, event));
             }
         }
     }
 
-    /// Makes the fault happen.
-    fn fault(&mut self, step: u64) {
-        let begin = step == (FAULT_AT * 1e6) as u64 / STEP;
-        let end = step == (BURST_END * 1e6) as u64 / STEP;
+    /// Starts or ends the fault of the scenario when it is due.
+    fn apply_fault(&mut self, step: u64) {
+        let begin = step == (FAULT_START * 1e6) as u64 / STEP_MICROS;
+        let end = step == (BURST_END * 1e6) as u64 / STEP_MICROS;
         match self.scenario.fault {
-            Fault::Straggler if begin => self.engines[0].slowdown = 0.1,
+            Fault::Straggler if begin => self.engines[0].speed = 0.1,
             Fault::NodeKilled if begin => self.kill_node(3),
             Fault::DataCentreCut if begin || end => {
-                self.cut = begin;
+                self.partitioned = begin;
                 let lost = |run: &Self, node: usize, engine: usize| {
-                    !run.linked(node, run.engines[engine].data_centre)
+                    !run.is_reachable(node, run.engines[engine].data_centre)
                 };
-                self.lose(lost, Outcome::Stalled, SILENCE);
-                self.announce();
+                self.end_lost(lost, Outcome::Stalled, SILENCE_TIMEOUT_MICROS);
+                self.send_members();
             }
             Fault::EngineCrash if begin => {
-                self.lose(|_, _, engine| engine == 0, Outcome::Broken, 500);
+                self.end_lost(|_, _, engine| engine == 0, Outcome::Broken, 500);
                 self.engines[0].alive = false;
                 self.engines[0].cache.clear();
             }
@@ -623,47 +653,58 @@
     }
 
     fn kill_node(&mut self, node: usize) {
-        self.cores[node] = None;
+        self.schedulers[node] = None;
         let lost: Vec<(usize, u64)> = self
-            .tracks
+            .requests
             .keys()
             .filter(|key| key.0 == node)
             .copied()
             .collect();
         for key in lost {
-            let track = self.tracks.remove(&key).expect("listed");
-            let kind = &KINDS[track.kind];
-            match track.engine {
+            let tracked = self
+                .requests
+                .remove(&key)
+                .expect("the key was listed above");
+            let kind = &KINDS[tracked.kind];
+            match tracked.engine {
                 Some(engine) => self.engines[engine].cancel(key.0, key.1),
                 None => *self.waiting.entry((kind.service, kind.tier)).or_default() -= 1,
             }
-            self.account(&track, false);
+            self.count(&tracked, false);
         }
-        self.announce();
+        self.send_members();
     }
 
-    /// Ends the running requests that a fault takes away.
-    fn lose(&mut self, lost: impl Fn(&Self, usize, usize) -> bool, outcome: Outcome, delay: u64) {
-        let keys: Vec<(usize, u64)> = self.tracks.keys().copied().collect();
+    /// Ends the running requests that a fault has interrupted.
+    fn end_lost(
+        &mut self,
+        lost: impl Fn(&Self, usize, usize) -> bool,
+        outcome: Outcome,
+        delay: u64,
+    ) {
+        let keys: Vec<(usize, u64)> = self.requests.keys().copied().collect();
         for key in keys {
-            let Some(engine) = self.tracks[&key].engine else {
+            let Some(engine) = self.requests[&key].engine else {
                 continue;
             };
             if !lost(self, key.0, engine) {
                 continue;
             }
-            let track = self.tracks.remove(&key).expect("listed");
+            let tracked = self
+                .requests
+                .remove(&key)
+                .expect("the key was listed above");
             self.engines[engine].cancel(key.0, key.1);
-            self.account(&track, false);
-            self.post(
+            self.count(&tracked, false);
+            self.schedule(
                 delay,
-                Message::ToCore(key.0, Event::Ended(id::Request(key.1), outcome)),
+                Message::ToScheduler(key.0, Event::Ended(id::Request(key.1), outcome)),
             );
         }
     }
 }
 
-fn text() -> Arc<Text> {
+fn configuration() -> Arc<Text> {
     let service = |kind, window| text::Service {
         kind,
         depends_on: BTreeSet::new(),
--- a/lib/examples/experiment/fake.rs
+++ b/lib/examples/experiment/fake.rs
@@ -1,4 +1,5 @@
-//! A fake engine: continuous batching, prefix cache, no notion of priority.
+//! Simulated inference engine with continuous batching and a prefix cache, but
+//! without priorities.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,16 +8,16 @@
 /// Tokens per block of the prefix cache.
 pub const BLOCK_TOKENS: u64 = 64;
 
-/// Blocks that the prefix cache holds.
-const CACHE_BLOCKS: usize = 320;
+/// Capacity of the prefix cache in blocks.
+const MAX_CACHE_BLOCKS: usize = 320;
 
-/// Prefill is this much faster than decoding a full batch.
+/// Prefill speed relative to decoding a full batch.
 pub const PREFILL_FACTOR: f64 = 8.0;
 
-/// Part of the engine's time that prefill takes while streams decode.
+/// Maximum share of the engine's time for prefill while any request decodes.
 const PREFILL_SHARE: f64 = 0.5;
 
-/// A request inside an engine.
+/// A request in an engine.
 #[derive(Clone, Debug)]
 pub struct Job {
     pub node: usize,
@@ -24,110 +25,120 @@
     pub prompt: u64,
     pub output: u64,
     pub prefixes: Vec<id::Prefix>,
+    /// Prompt tokens found in the prefix cache.
     pub cached: u64,
+    /// Prompt tokens that still need prefill.
     pub prefill: f64,
+    /// Output tokens decoded so far.
     pub produced: f64,
-    pub reported: u64,
+    /// Whole output tokens decoded so far.
+    pub decoded: u64,
+    /// Output tokens that the node has been notified of.
     pub sent: u64,
 }
 
 /// What happened to a job in a step.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Notice {
-    Begun { cached: u64 },
-    Started,
-    Ended { cached: u64, output: u64 },
+    PrefillStarted { cached: u64 },
+    FirstToken,
+    Finished { cached: u64, output: u64 },
 }
 
-/// One engine.
+/// A simulated engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
     pub service: &'static str,
     pub data_centre: usize,
-    /// Tokens per second of a full batch.
-    pub decode: f64,
-    /// Tokens per second of one stream, at the most.
-    pub stream: f64,
-    /// Tokens of running requests, at the most.
-    pub memory: u64,
-    pub slowdown: f64,
+    /// Decoding speed of a full batch in tokens per second.
+    pub decode_rate: f64,
+    /// Maximum decoding speed of one request in tokens per second.
+    pub max_stream_rate: f64,
+    /// Maximum number of tokens of running requests.
+    pub max_tokens: u64,
+    /// Current speed relative to normal.
+    pub speed: f64,
     pub alive: bool,
     pub waiting: VecDeque<Job>,
     pub running: Vec<Job>,
+    /// Cached prefixes with the time of their last use.
     pub cache: BTreeMap<id::Prefix, u64>,
+    /// Cache changes that have not been published.
     pub changes: Vec<Change>,
-    clock: u64,
+    /// Logical time of the last use of the cache.
+    use_clock: u64,
 }
 
 impl Engine {
     pub fn new(
         service: &'static str,
         data_centre: usize,
-        (decode, stream, memory): (f64, f64, u64),
+        (decode_rate, max_stream_rate, max_tokens): (f64, f64, u64),
     ) -> Self {
         Self {
             service,
             data_centre,
-            decode,
-            stream,
-            memory,
-            slowdown: 1.0,
+            decode_rate,
+            max_stream_rate,
+            max_tokens,
+            speed: 1.0,
             alive: true,
             waiting: VecDeque::new(),
             running: Vec::new(),
             cache: BTreeMap::new(),
             changes: Vec::new(),
-            clock: 0,
+            use_clock: 0,
         }
     }
 
-    /// Tokens held by running requests and asked for by waiting ones.
+    /// Tokens of running and waiting requests.
     pub fn tokens(&self) -> u64 {
-        let held = |job: &Job| job.prompt + job.reported;
+        let held = |job: &Job| job.prompt + job.decoded;
         let running: u64 = self.running.iter().map(held).sum();
         running + self.waiting.iter().map(held).sum::<u64>()
     }
 
-    /// Tokens of the job's prompt that the cache holds.
+    /// Tokens of a prompt that the cache holds, from its prefixes.
     pub fn cached(&self, prefixes: &[id::Prefix]) -> u64 {
         let held = |prefix: &id::Prefix| self.cache.contains_key(prefix);
         let blocks = prefixes.iter().take_while(|prefix| held(prefix)).count();
         blocks as u64 * BLOCK_TOKENS
     }
 
-    /// Ends a job early.
+    /// Removes a job before it has finished.
     pub fn cancel(&mut self, node: usize, request: u64) {
         let other = |job: &Job| job.node != node || job.request != request;
         self.waiting.retain(other);
         self.running.retain(other);
     }
 
-    /// Lets time pass and returns what happened.
+    /// Advances the engine and returns the events of its jobs.
     pub fn step(&mut self, seconds: f64) -> Vec<(usize, u64, Notice)> {
         let mut notices = Vec::new();
-        self.begin(&mut notices);
-        let seconds = seconds * self.slowdown;
+        self.start_waiting(&mut notices);
+        let seconds = seconds * self.speed;
         let decoding = self.running.iter().filter(|job| job.prefill <= 0.0).count();
         let share = if decoding > 0 { PREFILL_SHARE } else { 1.0 };
-        let full = self.decode * PREFILL_FACTOR * seconds;
-        let mut budget = full * share;
+        let max_prefill = self.decode_rate * PREFILL_FACTOR * seconds;
+        let mut budget = max_prefill * share;
         for job in &mut self.running {
             if job.prefill <= 0.0 || budget <= 0.0 {
                 continue;
             }
-            let done = job.prefill.min(budget);
-            job.prefill -= done;
-            budget -= done;
+            let processed = job.prefill.min(budget);
+            job.prefill -= processed;
+            budget -= processed;
         }
-        let spent = (full * share - budget) / full;
-        self.decode_step(seconds * (1.0 - spent), &mut notices);
+        let prefill_time = (max_prefill * share - budget) / max_prefill;
+        self.decode_step(seconds * (1.0 - prefill_time), &mut notices);
         notices
     }
 
-    fn begin(&mut self, notices: &mut Vec<(usize, u64, Notice)>) {
+    /// Starts waiting jobs as long as their tokens fit.
+    fn start_waiting(&mut self, notices: &mut Vec<(usize, u64, Notice)>) {
         while let Some(job) = self.waiting.front() {
             let held: u64 = self.running.iter().map(|job| job.prompt + job.output).sum();
-            if !self.running.is_empty() && held + job.prompt + job.output > self.memory {
+            if !self.running.is_empty() && held + job.prompt + job.output > self.max_tokens {
                 return;
             }
             let Some(mut job) = self.waiting.pop_front() else {
@@ -136,42 +147,49 @@
             job.cached = self.cached(&job.prefixes).min(job.prompt.saturating_sub(1));
             job.prefill = (job.prompt - job.cached) as f64;
             self.store(&job.prefixes);
-            notices.push((job.node, job.request, Notice::Begun { cached: job.cached }));
+            notices.push((
+                job.node,
+                job.request,
+                Notice::PrefillStarted { cached: job.cached },
+            ));
             self.running.push(job);
         }
     }
 
     fn decode_step(&mut self, seconds: f64, notices: &mut Vec<(usize, u64, Notice)>) {
         let decoding = self.running.iter().filter(|job| job.prefill <= 0.0).count();
-        let rate = self.stream.min(self.decode / decoding.max(1) as f64);
+        let rate = self
+            .max_stream_rate
+            .min(self.decode_rate / decoding.max(1) as f64);
         for job in self.running.iter_mut().filter(|job| job.prefill <= 0.0) {
             let before = job.produced;
             job.produced += rate * seconds;
             if before < 1.0 && job.produced >= 1.0 {
-                notices.push((job.node, job.request, Notice::Started));
+                notices.push((job.node, job.request, Notice::FirstToken));
             }
-            job.reported = (job.produced as u64).min(job.output);
-            if job.reported == job.output {
+            job.decoded = (job.produced as u64).min(job.output);
+            if job.decoded == job.output {
                 let (cached, output) = (job.cached, job.output);
-                notices.push((job.node, job.request, Notice::Ended { cached, output }));
+                notices.push((job.node, job.request, Notice::Finished { cached, output }));
             }
         }
-        self.running.retain(|job| job.reported < job.output);
+        self.running.retain(|job| job.decoded < job.output);
     }
 
+    /// Adds prefixes to the cache and evicts the least recently used ones.
     fn store(&mut self, prefixes: &[id::Prefix]) {
         for prefix in prefixes {
-            self.clock += 1;
-            if self.cache.insert(*prefix, self.clock).is_none() {
+            self.use_clock += 1;
+            if self.cache.insert(*prefix, self.use_clock).is_none() {
                 self.changes.push(Change::Stored(*prefix));
             }
         }
-        if self.cache.len() <= CACHE_BLOCKS {
+        if self.cache.len() <= MAX_CACHE_BLOCKS {
             return;
         }
         let mut ages: Vec<u64> = self.cache.values().copied().collect();
         ages.sort_unstable();
-        let oldest = ages[self.cache.len() - CACHE_BLOCKS];
+        let oldest = ages[self.cache.len() - MAX_CACHE_BLOCKS];
         let changes = &mut self.changes;
         self.cache.retain(|prefix, used| {
             if *used < oldest {
--- a/lib/examples/experiment/main.rs
+++ b/lib/examples/experiment/main.rs
@@ -1,6 +1,6 @@
 //! Compares admission policies in virtual time and prints a table.
 //!
-//! `cargo run --release --example experiment -- [CSV [SCENARIO [SEEDS [WAY]]]]`
+//! `cargo run --release --example experiment -- [CSV [SCENARIO [SEEDS [VARIANT]]]]`
 #![allow(
     missing_docs,
     clippy::cast_precision_loss,
@@ -30,8 +30,9 @@
     scenario::{SCENARIOS, Scenario},
 };
 
-/// The ways that are compared: policy, and whether prefixes are known.
-const WAYS: [(&str, Policy, bool); 5] = [
+/// The variants that are compared: name, policy, and whether requests carry
+/// prefixes.
+const VARIANTS: [(&str, Policy, bool); 5] = [
     ("round robin", Policy::RoundRobin, false),
     ("least load", Policy::LeastLoad, false),
     ("two choices", Policy::TwoChoices, false),
@@ -39,7 +40,7 @@
     ("shares + affinity", Policy::Shares, true),
 ];
 
-/// Threads that run at a time.
+/// Number of worker threads.
 const THREADS: usize = 4;
 
 /// Names of the columns.
@@ -57,15 +58,15 @@
     "violations",
 ];
 
-/// Returns the figures of one run, in the order of the columns.
-fn figures(outcomes: &Outcomes) -> [f64; 11] {
+/// Returns the values of one run, in the order of `COLUMNS`.
+fn column_values(outcomes: &Outcomes) -> [f64; 11] {
     let ratio = |part: f64, whole: f64| if whole > 0.0 { part / whole } else { 1.0 };
     let tier = |tier: usize| ratio(outcomes.good[tier] as f64, outcomes.offered[tier] as f64);
     let bound = outcomes.offered_work.min(outcomes.capacity_work);
-    let mut first = outcomes.first_token.clone();
-    first.sort_by(f64::total_cmp);
-    let p95 = first
-        .get(first.len() * 95 / 100)
+    let mut first_token = outcomes.first_token.clone();
+    first_token.sort_by(f64::total_cmp);
+    let p95 = first_token
+        .get(first_token.len() * 95 / 100)
         .copied()
         .unwrap_or(f64::NAN);
     [
@@ -93,10 +94,10 @@
     )
 }
 
-/// A scenario and the way that it is run.
+/// A scenario and the variant that it runs with.
 type Task = (Scenario, (&'static str, Policy, bool));
 
-/// Runs all tasks with all seeds on a few threads.
+/// Runs every task with every seed on `THREADS` threads.
 fn run_all(tasks: &[Task], seeds: u64) -> Vec<Vec<[f64; 11]>> {
     let rows = Mutex::new(vec![Vec::new(); tasks.len()]);
     let next = AtomicUsize::new(0);
@@ -106,7 +107,7 @@
             let Some((scenario, (_, policy, affinity))) = tasks.get(index) else {
                 return;
             };
-            let run = |seed| figures(&Run::new(*scenario, *policy, *affinity, seed).finish());
+            let run = |seed| column_values(&Run::new(*scenario, *policy, *affinity, seed).finish());
             let row = (1..=seeds).map(run).collect();
             rows.lock().expect("no thread panics")[index] = row;
         }
@@ -122,36 +123,39 @@
 fn main() {
     let args: Vec<String> = std::env::args().skip(1).collect();
     let path = args.first().map_or("target/experiment.csv", String::as_str);
-    let wanted = args.get(1).map_or("", String::as_str);
+    let scenario_filter = args.get(1).map_or("", String::as_str);
     let seeds: u64 = args
         .get(2)
         .map_or(5, |seeds| seeds.parse().expect("a number of seeds"));
-    let only = args.get(3).map_or("", String::as_str);
-    let mut jobs = Vec::new();
+    let variant_filter = args.get(3).map_or("", String::as_str);
+    let mut tasks = Vec::new();
     for scenario in SCENARIOS
         .iter()
-        .filter(|scenario| scenario.name.contains(wanted))
+        .filter(|scenario| scenario.name.contains(scenario_filter))
     {
-        for way in WAYS.into_iter().filter(|(name, ..)| name.contains(only)) {
-            jobs.push((*scenario, way));
+        for variant in VARIANTS
+            .into_iter()
+            .filter(|(name, ..)| name.contains(variant_filter))
+        {
+            tasks.push((*scenario, variant));
         }
     }
-    let rows = run_all(&jobs, seeds);
+    let rows = run_all(&tasks, seeds);
     let mut csv = String::from("scenario,way,column,median,least,greatest\n");
     println!("| scenario | way | {} |", COLUMNS.join(" | "));
     println!("| --- | --- |{}", " --- |".repeat(COLUMNS.len()));
-    for ((scenario, (way, ..)), runs) in jobs.iter().zip(&rows) {
-        let mut line = format!("| {} | {way} |", scenario.name);
-        for (column, title) in COLUMNS.iter().enumerate() {
-            let (median, least, greatest) = spread(runs.iter().map(|run| run[column]).collect());
-            let digits = if column < 9 { 3 } else { 0 };
+    for ((scenario, (variant, ..)), runs) in tasks.iter().zip(&rows) {
+        let mut line = format!("| {} | {variant} |", scenario.name);
+        for (index, column) in COLUMNS.iter().enumerate() {
+            let (median, least, greatest) = spread(runs.iter().map(|run| run[index]).collect());
+            let digits = if index < 9 { 3 } else { 0 };
             let _ = write!(
                 line,
                 " {median:.digits$} ({least:.digits$}–{greatest:.digits$}) |"
             );
             let _ = writeln!(
                 csv,
-                "{},{way},{title},{median},{least},{greatest}",
+                "{},{variant},{column},{median},{least},{greatest}",
                 scenario.name
             );
         }
--- a/lib/examples/experiment/scenario.rs
+++ b/lib/examples/experiment/scenario.rs
@@ -5,23 +5,24 @@
 
 use crate::fake::{BLOCK_TOKENS, PREFILL_FACTOR};
 
-/// One kind of request.
+/// A kind of request.
 pub struct Kind {
     pub service: &'static str,
     pub tier: u8,
-    /// Tokens of the prompt's part that the workspace shares.
+    /// Tokens of the prompt prefix that all requests of a workspace share.
     pub shared: u64,
-    /// Tokens of the prompt's own part, on average.
-    pub own: u64,
-    /// Tokens of the answer, on average.
+    /// Mean tokens of the part of the prompt that is unique to a request.
+    pub unique: u64,
+    /// Mean tokens of the answer.
     pub output: u64,
-    /// Seconds for the answer.
+    /// Deadline of the answer in seconds.
     pub deadline: u64,
-    /// Part of the offered work of its service.
-    pub work: f64,
+    /// Fraction of the offered work of its service.
+    pub work_share: f64,
 }
 
-/// The kinds of both deployments; answers are a hundredfold apart.
+/// The kinds of both deployments; the lengths of answers differ by a factor of
+/// up to a hundred.
 pub const KINDS: [Kind; 6] = [
     kind("llm", 0, (1024, 128, 60), 8, 0.2),
     kind("llm", 1, (2048, 640, 2000), 120, 0.3),
@@ -34,41 +35,41 @@
 const fn kind(
     service: &'static str,
     tier: u8,
-    (shared, own, output): (u64, u64, u64),
+    (shared, unique, output): (u64, u64, u64),
     deadline: u64,
-    work: f64,
+    work_share: f64,
 ) -> Kind {
     Kind {
         service,
         tier,
         shared,
-        own,
+        unique,
         output,
         deadline,
-        work,
+        work_share,
     }
 }
 
 impl Kind {
-    /// Work in tokens of decoding, the shared prefix being cached.
-    pub fn weight(&self) -> f64 {
-        weight(self.own, self.output)
+    /// Mean work per request in decoded tokens, with the shared prefix cached.
+    pub fn mean_work(&self) -> f64 {
+        work(self.unique, self.output)
     }
 }
 
-/// Work in tokens of decoding of an uncached prompt and an answer.
-pub fn weight(prompt: u64, output: u64) -> f64 {
+/// Work of an uncached prompt and an answer, in decoded tokens.
+pub fn work(prompt: u64, output: u64) -> f64 {
     prompt as f64 / PREFILL_FACTOR + output as f64
 }
 
-/// Parts of the requests that come from each of the five workspaces.
-const WORKSPACES: [f64; 5] = [0.45, 0.3, 0.15, 0.07, 0.03];
+/// Fraction of the requests that comes from each of the five workspaces.
+const WORKSPACE_SHARES: [f64; 5] = [0.45, 0.3, 0.15, 0.07, 0.03];
 
 /// Draws a workspace.
 pub fn workspace(rng: &mut SmallRng) -> usize {
     let mut rest: f64 = rng.random();
-    for (number, part) in WORKSPACES.iter().enumerate() {
-        rest -= part;
+    for (number, share) in WORKSPACE_SHARES.iter().enumerate() {
+        rest -= share;
         if rest < 0.0 {
             return number;
         }
@@ -76,26 +77,26 @@
     0
 }
 
-/// Draws a length around a mean, between half and twice of it.
+/// Draws a length with the given mean, between about half and twice the mean.
 pub fn length(rng: &mut SmallRng, mean: u64) -> u64 {
     let factor: f64 = 2f64.powf(rng.random_range(-1.0..1.0)) / 1.082;
     (mean as f64 * factor).round().max(1.0) as u64
 }
 
-/// Draws the hashes of a prompt's blocks.
-pub fn prefixes(rng: &mut SmallRng, kind: usize, workspace: usize, own: u64) -> Vec<id::Prefix> {
+/// Draws the hashes of the blocks of a prompt.
+pub fn prefixes(rng: &mut SmallRng, kind: usize, workspace: usize, unique: u64) -> Vec<id::Prefix> {
     let group = (kind as u64 * 8 + workspace as u64 + 1) << 32;
     let mut prefixes = Vec::new();
     for block in 0..KINDS[kind].shared / BLOCK_TOKENS {
         prefixes.push(id::Prefix(group + block));
     }
-    for _ in 0..own / BLOCK_TOKENS {
+    for _ in 0..unique / BLOCK_TOKENS {
         prefixes.push(id::Prefix(rng.random()));
     }
     prefixes
 }
 
-/// A fault.
+/// A fault that is injected into a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     None,
@@ -105,26 +106,27 @@
     EngineCrash,
 }
 
-/// A workload with its fault.
+/// A deployment, its workload and its fault.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
     pub name: &'static str,
     pub nodes: usize,
     pub data_centres: usize,
     pub engines: usize,
+    /// Offered work relative to the capacity of the engines.
     pub load: f64,
-    /// Load between `FAULT_AT` and `BURST_END`.
+    /// Load between `FAULT_START` and `BURST_END`.
     pub burst: f64,
     pub fault: Fault,
 }
 
 /// Second at which the fault or the burst begins.
-pub const FAULT_AT: f64 = 45.0;
+pub const FAULT_START: f64 = 45.0;
 
 /// Second at which the burst ends.
 pub const BURST_END: f64 = 60.0;
 
-/// All scenarios, in the order of their worth.
+/// All scenarios, the most important first.
 pub const SCENARIOS: [Scenario; 10] = [
     small("steady 0.7", 0.7, 0.7, Fault::None),
     small("steady 1.0", 1.0, 1.0, Fault::None),
--- a/lib/examples/membership_run.rs
+++ b/lib/examples/membership_run.rs
@@ -1,4 +1,4 @@
-//! Runs memberships through random faults, a run per seed:
+//! Simulates memberships under random faults, one run per seed:
 //! `cargo run --release -p dottereltally-lib --example membership_run -- --seeds 1000 --first 0`.
 
 #[path = "../tests/fleet/mod.rs"]
@@ -9,12 +9,12 @@
 use dottereltally_lib::membership::Settings;
 use fleet::scenario;
 
-/// Returns the number that follows a switch.
-fn number(switch: &str, default: u64) -> u64 {
-    let mut arguments = env::args().skip_while(|argument| argument != switch);
+/// Returns the value of a numeric option.
+fn number(option: &str, default: u64) -> u64 {
+    let mut arguments = env::args().skip_while(|argument| argument != option);
     let value = arguments.nth(1);
     value.map_or(default, |value| {
-        value.parse().expect("a switch takes a whole number")
+        value.parse().expect("the option takes a whole number")
     })
 }
 
@@ -26,8 +26,8 @@
     for seed in first..first + seeds {
         let report = match scenario::run(Settings::default(), seed) {
             Ok(report) => report,
-            Err(what) => {
-                println!("seed {seed}: {what}");
+            Err(failure) => {
+                println!("seed {seed}: {failure}");
                 failures += 1;
                 continue;
             }
--- a/lib/examples/plots.rs
+++ b/lib/examples/plots.rs
@@ -1,4 +1,4 @@
-//! Draws the table of the experiment as SVG, one file for each column.
+//! Plots the CSV table of the experiment as SVG, one file per column.
 //!
 //! `cargo run --release -p dottereltally-lib --example plots -- CSV DIRECTORY`
 
@@ -13,41 +13,41 @@
 /// Size of a plot in pixels.
 const SIZE: (u32, u32) = (1100, 480);
 
-/// Width of a scenario's group of bars, of one.
+/// Width of a scenario's group of bars as a fraction of its slot.
 const GROUP_WIDTH: f64 = 0.8;
 
-/// Values of one column: scenario and way to median, least and greatest.
+/// Values of one column: median, least and greatest by scenario and variant.
 type Column = BTreeMap<(String, String), (f64, f64, f64)>;
 
-/// Rows of the file by column, with scenarios and ways in their order.
+/// Rows of the file by column, with scenarios and variants in file order.
 struct Table {
     columns: BTreeMap<String, Column>,
     scenarios: Vec<String>,
-    ways: Vec<String>,
+    variants: Vec<String>,
 }
 
 fn read(csv: &str) -> Table {
     let mut table = Table {
         columns: BTreeMap::new(),
         scenarios: Vec::new(),
-        ways: Vec::new(),
+        variants: Vec::new(),
     };
     let mut seen = BTreeSet::new();
     for line in csv.lines().skip(1) {
         let fields: Vec<&str> = line.split(',').collect();
-        let [scenario, way, column, median, least, greatest] = fields[..] else {
+        let [scenario, variant, column, median, least, greatest] = fields[..] else {
             continue;
         };
         if seen.insert(format!("scenario {scenario}")) {
             table.scenarios.push(scenario.to_owned());
         }
-        if seen.insert(format!("way {way}")) {
-            table.ways.push(way.to_owned());
+        if seen.insert(format!("variant {variant}")) {
+            table.variants.push(variant.to_owned());
         }
         let number = |text: &str| text.parse().unwrap_or(0.0);
         let value = (number(median), number(least), number(greatest));
         let values = table.columns.entry(column.to_owned()).or_default();
-        values.insert((scenario.to_owned(), way.to_owned()), value);
+        values.insert((scenario.to_owned(), variant.to_owned()), value);
     }
     table
 }
@@ -62,7 +62,7 @@
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let scenarios = u32::try_from(table.scenarios.len())?;
-    let ways = f64::from(u32::try_from(table.ways.len())?);
+    let variants = f64::from(u32::try_from(table.variants.len())?);
     let mut chart = ChartBuilder::on(&root)
         .margin(10)
         .x_label_area_size(30)
@@ -80,14 +80,14 @@
         .x_labels(table.scenarios.len() * 2 + 1)
         .x_label_formatter(&label)
         .draw()?;
-    for (rank, way) in table.ways.iter().enumerate() {
+    for (rank, variant) in table.variants.iter().enumerate() {
         let color = Palette99::pick(rank).to_rgba();
         let mut bars = Vec::new();
         for (group, scenario) in table.scenarios.iter().enumerate() {
-            let Some(value) = column.get(&(scenario.clone(), way.clone())) else {
+            let Some(value) = column.get(&(scenario.clone(), variant.clone())) else {
                 continue;
             };
-            let width = GROUP_WIDTH / ways;
+            let width = GROUP_WIDTH / variants;
             let left = to_f64(group) + 0.1 + width * to_f64(rank);
             bars.push((left, width, *value));
         }
@@ -99,7 +99,7 @@
         });
         chart
             .draw_series(shapes)?
-            .label(way)
+            .label(variant)
             .legend(move |(x, y)| Rectangle::new([(x, y - 4), (x + 8, y + 4)], color.filled()));
         let spreads = bars.iter().map(|(left, width, (_, least, greatest))| {
             let middle = left + width * 0.45;
