--- a/gateway/src/chain.rs
+++ b/gateway/src/chain.rs
@@ -18,7 +18,7 @@
     id,
     plan::Plan,
     quarantine::Verdict,
-    quota::Ledger,
+    quota::Limiter,
     refusal,
     route::{Repeat, Route},
     time,
@@ -61,11 +61,11 @@
     /// Connections to the endpoints.
     pub upstream: Pool,
     /// Quota usage of the workspaces.
-    pub ledger: Mutex<Ledger>,
+    pub limiter: Mutex<Limiter>,
     /// Retry budget.
     pub budget: Mutex<Budget>,
     /// Finds requests that crash endpoints.
-    pub crashes: Mutex<crash::Watch>,
+    pub crashes: Mutex<crash::Detector>,
     /// Metrics of the request path.
     pub metrics: Metrics,
     /// Phase of the shutdown.
@@ -313,16 +313,16 @@
             let tokens = head.tokens.map(|(prompt, output)| prompt + output);
             let cost = quota.cost(tokens);
             let now = self.clock.now();
-            let admitted = lock(&self.ledger).admit(now, name, quota, cost);
+            let admitted = lock(&self.limiter).admit(now, name, quota, cost);
             if let Err(exhausted) = admitted {
                 tracing::info!(
                     id = head.correlation,
                     workspace = %name,
                     cost,
                     level = exhausted.level,
-                    fresh = exhausted.fresh,
+                    fresh = exhausted.unreported,
                     share = exhausted.share,
-                    silent = exhausted.silent,
+                    silent = exhausted.silent_share,
                     rate = quota.rate,
                     "quota used up"
                 );
@@ -352,7 +352,7 @@
                 }
             };
             if progress.sends == 0 {
-                lock(&self.budget).earn(self.clock.now(), &job.service);
+                lock(&self.budget).record_request(self.clock.now(), &job.service);
             }
             let attempt = attempt::send(&self, &job, &choice, None, permit).await;
             match self.finish_attempt(&job, &choice, &mut progress, attempt) {
@@ -424,13 +424,13 @@
     /// Records that the connection broke while an endpoint may have been running
     /// the request.
     pub fn record_broken_connection(&self, job: &Job, endpoint: &id::Endpoint) {
-        lock(&self.crashes).broke(self.clock.now(), endpoint, job.fingerprint);
+        lock(&self.crashes).record_broken(self.clock.now(), endpoint, job.fingerprint);
     }
 
     /// Records that an endpoint can't be reached; requests whose connections to
     /// it broke shortly before are suspected of having crashed it.
     pub fn record_unreachable(&self, endpoint: &id::Endpoint) {
-        let suspects = lock(&self.crashes).died(self.clock.now(), endpoint);
+        let suspects = lock(&self.crashes).record_death(self.clock.now(), endpoint);
         if suspects > 0 {
             tracing::info!(%endpoint, suspects, "endpoint died with requests in flight");
         }
@@ -537,7 +537,7 @@
         timing: Timing,
     ) {
         let now = self.clock.now();
-        lock(&self.crashes).answered(now, job.fingerprint);
+        lock(&self.crashes).record_answered(now, job.fingerprint);
         let took = now.since(job.received);
         self.metrics.answered(job.tier, status, took);
         tracing::info!(
--- a/gateway/src/node.rs
+++ b/gateway/src/node.rs
@@ -23,7 +23,7 @@
     dispatcher::{self, Dispatcher},
     id,
     plan::Plan,
-    quota::Ledger,
+    quota::Limiter,
 };
 use eyre::WrapErr;
 use http::{Response, StatusCode};
@@ -270,9 +270,9 @@
         plan: channels.plan.subscribe(),
         admission: admission::Handle::new(dispatcher, clock),
         upstream: Pool::new(UPSTREAM_LIMITS),
-        ledger: Mutex::new(Ledger::new(settings.quotas)),
+        limiter: Mutex::new(Limiter::new(settings.quotas)),
         budget: Mutex::new(Budget::new(settings.retries)),
-        crashes: Mutex::new(crash::Watch::default()),
+        crashes: Mutex::new(crash::Detector::default()),
         metrics: metrics.clone(),
         phase: Phase::default(),
     }
@@ -421,8 +421,8 @@
         tracing::error!("changed settings can't be used; the current ones stay in force");
         return;
     };
-    lock(&chain.budget).agree(settings.retries);
-    lock(&chain.ledger).agree(settings.quotas);
+    lock(&chain.budget).set_limits(settings.retries);
+    lock(&chain.limiter).set_tolerance(settings.quotas);
     tracing::info!("settings reloaded: budgets and quotas; other changes need a restart");
 }
 
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -180,8 +180,8 @@
         let now = self.now();
         let names: Vec<id::Node> = self.peers.keys().cloned().collect();
         let chain = &self.arguments.chain;
-        lock(&chain.ledger).join(now, &names);
-        lock(&chain.budget).share(names.len() + 1);
+        lock(&chain.limiter).set_peers(now, &names);
+        lock(&chain.budget).set_node_count(names.len() + 1);
         chain.admission.apply(|dispatcher, _| {
             dispatcher.set_peers(&names);
             Vec::new()
@@ -267,9 +267,14 @@
             self.elect_homes();
         }
         let chain = &self.arguments.chain;
-        lock(&chain.ledger).hear(now, &beat.node, beat.incarnation, beat.usage.clone());
+        lock(&chain.limiter).record_peer_usage(
+            now,
+            &beat.node,
+            beat.incarnation,
+            beat.usage.clone(),
+        );
         for (mark, valid) in &beat.marks {
-            lock(&chain.crashes).hear(now, *mark, *valid);
+            lock(&chain.crashes).apply_mark(now, *mark, *valid);
         }
         let loads = beat.held.iter().cloned().collect();
         chain
@@ -335,8 +340,8 @@
                 .map(|plan| plan.generation)
                 .unwrap_or_default(),
             held: chain.admission.take_load(),
-            usage: lock(&chain.ledger).usage(now),
-            marks: lock(&chain.crashes).fresh(now),
+            usage: lock(&chain.limiter).take_usage(now),
+            marks: lock(&chain.crashes).marks_to_share(now),
         }
     }
 
--- a/gateway/src/settings.rs
+++ b/gateway/src/settings.rs
@@ -33,7 +33,7 @@
     /// Upper bounds of times.
     pub bounds: Bounds,
     /// Budget of retries.
-    pub retries: budget::Terms,
+    pub retries: budget::Limits,
     /// Excess over a quota that is tolerated.
     pub quotas: quota::Tolerance,
 }
@@ -209,13 +209,13 @@
         apply: check.seconds("bounds.apply_ms", wire.bounds.apply_ms / 1e3),
         grace: check.seconds("bounds.grace_s", wire.bounds.grace_s),
     };
-    let retries = budget::Terms {
+    let retries = budget::Limits {
         ratio: check.non_negative("retries.ratio", wire.retries.ratio),
         allowance: check.non_negative("retries.allowance", wire.retries.allowance),
         window: check.seconds("retries.window_s", wire.retries.window_s),
     };
     let quotas = quota::Tolerance {
-        part: check.non_negative("quotas.tolerated_part", wire.quotas.tolerated_part),
+        fraction: check.non_negative("quotas.tolerated_part", wire.quotas.tolerated_part),
         excess: check.non_negative("quotas.tolerated_tokens", wire.quotas.tolerated_tokens),
         window: check.seconds("quotas.window_s", wire.quotas.window_s),
     };
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -24,13 +24,13 @@
     metrics::Metrics,
 };
 use dottereltally_lib::{
-    budget::{Budget, Terms},
+    budget::{self, Budget},
     crash,
     dispatcher::{Dispatcher, Settings},
     endpoint::{Record, Standing},
     id,
     plan::{Plan, Quota, Service, Unit, Workspace, Workspaces},
-    quota::{Ledger, Tolerance},
+    quota::{Limiter, Tolerance},
     route::{Repeat, Route, Target},
 };
 use http::{HeaderMap, HeaderValue};
@@ -385,13 +385,13 @@
             plan: plan.subscribe(),
             admission: admission::Handle::new(dispatcher, clock),
             upstream: Pool::new(Limits::default()),
-            ledger: Mutex::new(Ledger::new(Tolerance::default())),
-            budget: Mutex::new(Budget::new(Terms {
+            limiter: Mutex::new(Limiter::new(Tolerance::default())),
+            budget: Mutex::new(Budget::new(budget::Limits {
                 ratio: 0.2,
                 allowance: 100.0,
                 window: Duration::from_secs(10),
             })),
-            crashes: Mutex::new(crash::Watch::default()),
+            crashes: Mutex::new(crash::Detector::default()),
             metrics: Metrics::default(),
             phase: Phase::default(),
         });
--- a/gateway/tests/test_chain.rs
+++ b/gateway/tests/test_chain.rs
@@ -7,7 +7,7 @@
 use common::{
     Endpoint, Gateway, Step, answer_with, header, plan, read_message, route, status, with_keys,
 };
-use dottereltally_lib::{budget::Terms, id, route::Repeat};
+use dottereltally_lib::{budget::Limits, id, route::Repeat};
 use rstest::rstest;
 use tokio::{io::AsyncWriteExt, net::TcpStream, sync::Notify, time::timeout};
 
@@ -275,13 +275,13 @@
     let gateway = Gateway::start(Some(plan()), &[&failing, &healthy]).await;
     {
         let mut budget = gateway.chain.budget.lock().unwrap();
-        budget.agree(Terms {
+        budget.set_limits(Limits {
             ratio: 0.2,
             allowance: 0.0,
             window: Duration::from_secs(10),
         });
         for _ in 0..7 {
-            budget.earn(gateway.chain.clock.now(), &id::Service::from("s"));
+            budget.record_request(gateway.chain.clock.now(), &id::Service::from("s"));
         }
     }
     assert_eq!(status(&gateway.get("/safe/x", "").await), 200);
--- a/lib/src/budget.rs
+++ b/lib/src/budget.rs
@@ -17,7 +17,7 @@
 
 /// Limits on retries set by the operator.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct Limits {
     /// Retries earned by each request.
     pub ratio: f64,
     /// Further retries in each window, for all nodes together.
@@ -36,7 +36,7 @@
 /// This node's part of the retry budget, by service.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    terms: Terms,
+    limits: Limits,
     nodes: f64,
     accounts: BTreeMap<id::Service, Account>,
 }
@@ -44,28 +44,28 @@
 impl Budget {
     /// Creates the budget of a node that knows no other nodes.
     #[must_use]
-    pub fn new(terms: Terms) -> Self {
+    pub fn new(limits: Limits) -> Self {
         Self {
-            terms,
+            limits,
             nodes: 1.0,
             accounts: BTreeMap::new(),
         }
     }
 
     /// Replaces the operator's limits.
-    pub fn agree(&mut self, terms: Terms) {
-        self.terms = terms;
+    pub fn set_limits(&mut self, limits: Limits) {
+        self.limits = limits;
     }
 
     /// Sets the number of nodes that share the allowance.
-    pub fn share(&mut self, nodes: usize) {
+    pub fn set_node_count(&mut self, nodes: usize) {
         self.nodes = f64::from(u32::try_from(nodes.max(1)).unwrap_or(u32::MAX));
     }
 
     /// Records the first attempt of a request, which earns a part of a retry.
-    pub fn earn(&mut self, now: time::Instant, service: &id::Service) {
-        let earned = self.terms.ratio * EARNED_FRACTION;
-        let cap = self.cap() + earned * self.terms.window.as_secs_f64();
+    pub fn record_request(&mut self, now: time::Instant, service: &id::Service) {
+        let earned = self.limits.ratio * EARNED_FRACTION;
+        let cap = self.cap() + earned * self.limits.window.as_secs_f64();
         let account = self.account(now, service);
         account.level = (account.level + earned).min(cap);
     }
@@ -82,12 +82,12 @@
 
     /// Returns the part of the allowance that this node may use at once.
     fn cap(&self) -> f64 {
-        self.terms.allowance * ALLOWANCE_FRACTION / self.nodes
+        self.limits.allowance * ALLOWANCE_FRACTION / self.nodes
     }
 
     fn account(&mut self, now: time::Instant, service: &id::Service) -> &mut Account {
         let cap = self.cap();
-        let window = self.terms.window.as_secs_f64().max(1.0);
+        let window = self.limits.window.as_secs_f64().max(1.0);
         let account = self.accounts.entry(service.clone()).or_insert(Account {
             level: cap,
             refilled: now,
--- a/lib/src/crash.rs
+++ b/lib/src/crash.rs
@@ -32,13 +32,13 @@
 
 /// One node's record of requests that may crash endpoints.
 #[derive(Clone, Debug, Default)]
-pub struct Watch {
+pub struct Detector {
     marks: Marks,
     breaks: Vec<Break>,
     unshared: Vec<(id::Fingerprint, time::Instant)>,
 }
 
-impl Watch {
+impl Detector {
     /// Returns what is known about whether the request crashes endpoints.
     #[must_use]
     pub fn verdict(&self, now: time::Instant, fingerprint: id::Fingerprint) -> Verdict {
@@ -46,7 +46,7 @@
     }
 
     /// Records that a request's connection broke.
-    pub fn broke(
+    pub fn record_broken(
         &mut self,
         now: time::Instant,
         endpoint: &id::Endpoint,
@@ -65,7 +65,7 @@
 
     /// Records the death of an endpoint and returns the number of requests that
     /// were in flight there.
-    pub fn died(&mut self, now: time::Instant, endpoint: &id::Endpoint) -> usize {
+    pub fn record_death(&mut self, now: time::Instant, endpoint: &id::Endpoint) -> usize {
         let mut suspects = Vec::new();
         self.breaks.retain(|connection| {
             if connection.endpoint != *endpoint {
@@ -85,19 +85,19 @@
     }
 
     /// Records that a request was answered completely.
-    pub fn answered(&mut self, now: time::Instant, fingerprint: id::Fingerprint) {
+    pub fn record_answered(&mut self, now: time::Instant, fingerprint: id::Fingerprint) {
         self.marks.answered(now, fingerprint);
     }
 
     /// Returns the marks to send to the other nodes, with their validity.
-    pub fn fresh(&mut self, now: time::Instant) -> Vec<(id::Fingerprint, Duration)> {
+    pub fn marks_to_share(&mut self, now: time::Instant) -> Vec<(id::Fingerprint, Duration)> {
         self.unshared.retain(|(_, until)| *until > now);
         let marks = self.unshared.iter();
         marks.map(|(mark, _)| (*mark, MARK_TTL)).collect()
     }
 
     /// Applies a mark received from another node.
-    pub fn hear(&mut self, now: time::Instant, mark: id::Fingerprint, valid: Duration) {
+    pub fn apply_mark(&mut self, now: time::Instant, mark: id::Fingerprint, valid: Duration) {
         self.marks.mark(now, mark, valid);
     }
 }
--- a/lib/src/quota.rs
+++ b/lib/src/quota.rs
@@ -60,7 +60,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tolerance {
     /// Tolerated excess as a fraction of rate and burst.
-    pub part: f64,
+    pub fraction: f64,
     /// Further tolerated units in each window.
     pub excess: f64,
     /// The window over which use is measured. If it is zero, a quota is a plain
@@ -80,12 +80,12 @@
         }
         let window = self.window.as_secs_f64();
         let sustained =
-            (quota.rate + quota.burst / window) * (1.0 + self.part * RATE_TOLERANCE_FRACTION);
+            (quota.rate + quota.burst / window) * (1.0 + self.fraction * RATE_TOLERANCE_FRACTION);
         let excess = match quota.unit {
             Unit::Tokens { .. } => self.excess * USED_EXCESS_FRACTION,
             Unit::Requests => 0.0,
         };
-        let window_total = (quota.rate * window + quota.burst) * (1.0 + self.part) + excess;
+        let window_total = (quota.rate * window + quota.burst) * (1.0 + self.fraction) + excess;
         let size = (window_total - sustained * window).max(quota.burst * MIN_BUCKET_FRACTION);
         ((window_total - size) / window, size)
     }
@@ -106,11 +106,11 @@
     /// Units left for all nodes.
     pub level: f64,
     /// Units that this node admitted since its last report to the others.
-    pub fresh: f64,
+    pub unreported: f64,
     /// This node's share of the remaining units.
     pub share: f64,
     /// Fraction of the rate reserved for nodes whose reports have stopped.
-    pub silent: f64,
+    pub silent_share: f64,
     /// Time after which units may be available again.
     pub retry_after: Duration,
 }
@@ -173,7 +173,7 @@
 
 /// One node's view of all quotas.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
+pub struct Limiter {
     tolerance: Tolerance,
     /// Time at which the list of nodes was first set.
     started: Option<time::Instant>,
@@ -181,8 +181,8 @@
     peers: BTreeMap<id::Node, Peer>,
 }
 
-impl Ledger {
-    /// Creates the ledger of a node that knows no other nodes.
+impl Limiter {
+    /// Creates the limiter of a node that knows no other nodes.
     #[must_use]
     pub fn new(tolerance: Tolerance) -> Self {
         Self {
@@ -192,12 +192,12 @@
     }
 
     /// Replaces the tolerance.
-    pub fn agree(&mut self, tolerance: Tolerance) {
+    pub fn set_tolerance(&mut self, tolerance: Tolerance) {
         self.tolerance = tolerance;
     }
 
     /// Sets the other nodes of the cluster.
-    pub fn join(&mut self, now: time::Instant, nodes: &[id::Node]) {
+    pub fn set_peers(&mut self, now: time::Instant, nodes: &[id::Node]) {
         self.started.get_or_insert(now);
         let nodes: BTreeSet<&id::Node> = nodes.iter().collect();
         self.peers.retain(|node, _| nodes.contains(node));
@@ -214,7 +214,7 @@
 
     /// Applies another node's report. `incarnation` differs between processes
     /// of the same node.
-    pub fn hear(
+    pub fn record_peer_usage(
         &mut self,
         now: time::Instant,
         node: &id::Node,
@@ -278,7 +278,7 @@
     }
 
     /// Returns this node's usage for the next report to the others.
-    pub fn usage(&mut self, now: time::Instant) -> BTreeMap<id::Workspace, Usage> {
+    pub fn take_usage(&mut self, now: time::Instant) -> BTreeMap<id::Workspace, Usage> {
         self.mark_silent_peers(now);
         let mut usage = BTreeMap::new();
         for (name, account) in &mut self.accounts {
@@ -324,9 +324,9 @@
             let wait = Duration::try_from_secs_f64(missing).unwrap_or(RETRY_AFTER.1);
             return Err(Exhausted {
                 level,
-                fresh: account.unreported,
+                unreported: account.unreported,
                 share,
-                silent,
+                silent_share: silent,
                 retry_after: wait.clamp(RETRY_AFTER.0, RETRY_AFTER.1),
             });
         }
--- a/lib/tests/test_budget.rs
+++ b/lib/tests/test_budget.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use dottereltally_lib::{
-    budget::{Budget, Terms},
+    budget::{Budget, Limits},
     id, time,
 };
 use rstest::rstest;
 
-const TERMS: Terms = Terms {
+const LIMITS: Limits = Limits {
     ratio: 0.2,
     allowance: 56.0,
     window: Duration::from_secs(10),
@@ -25,15 +25,15 @@
 #[case(87, 8)]
 fn repeats_of_all_nodes_stay_within_each_window(#[case] nodes: usize, #[case] per_second: u64) {
     let service = id::Service::from("s");
-    let mut budgets = vec![Budget::new(TERMS); nodes];
+    let mut budgets = vec![Budget::new(LIMITS); nodes];
     for budget in &mut budgets {
-        budget.share(nodes);
+        budget.set_node_count(nodes);
     }
     let mut sent = Vec::new();
     let mut retried = Vec::new();
     for millis in (0..60_000).step_by(usize::try_from(1000 / per_second).unwrap()) {
         for budget in &mut budgets {
-            budget.earn(at(millis), &service);
+            budget.record_request(at(millis), &service);
             sent.push(millis);
             if budget.spend(at(millis), &service) {
                 retried.push(millis);
@@ -46,7 +46,7 @@
             times.iter().filter(|time| window.contains(*time)).count()
         };
         #[expect(clippy::cast_precision_loss, reason = "counts are small")]
-        let allowed = within(&sent) as f64 * TERMS.ratio + TERMS.allowance;
+        let allowed = within(&sent) as f64 * LIMITS.ratio + LIMITS.allowance;
         #[expect(clippy::cast_precision_loss, reason = "counts are small")]
         let used = within(&retried) as f64;
         assert!(used <= allowed, "{used} of {allowed} from {start} ms");
@@ -57,20 +57,20 @@
 #[test]
 fn services_do_not_share_a_budget() {
     let (busy, calm) = (id::Service::from("busy"), id::Service::from("calm"));
-    let mut budget = Budget::new(TERMS);
+    let mut budget = Budget::new(LIMITS);
     while budget.spend(at(0), &busy) {}
     assert!(budget.spend(at(0), &calm));
 }
 
 #[test]
-fn changed_terms_hold_from_the_next_window() {
+fn changed_limits_hold_from_the_next_window() {
     let service = id::Service::from("s");
-    let mut budget = Budget::new(TERMS);
+    let mut budget = Budget::new(LIMITS);
     while budget.spend(at(0), &service) {}
-    budget.agree(Terms {
+    budget.set_limits(Limits {
         allowance: 0.0,
         ratio: 0.0,
-        ..TERMS
+        ..LIMITS
     });
     assert!(!budget.spend(at(60_000), &service));
 }
--- a/lib/tests/test_quota.rs
+++ b/lib/tests/test_quota.rs
@@ -5,7 +5,7 @@
 use dottereltally_lib::{
     id,
     plan::{Quota, Unit},
-    quota::{Ledger, Tolerance},
+    quota::{Limiter, Tolerance},
     time,
 };
 use rstest::rstest;
@@ -14,7 +14,7 @@
 const WINDOW_MS: u64 = 8000;
 
 const TOLERANCE: Tolerance = Tolerance {
-    part: 0.1,
+    fraction: 0.1,
     excess: 140_000.0,
     window: Duration::from_millis(WINDOW_MS),
 };
@@ -31,10 +31,10 @@
     time::Instant::from_micros(millis * 1000)
 }
 
-/// Ledgers of several nodes that exchange reports.
+/// Limiters of several nodes that exchange reports.
 struct Fleet {
     names: Vec<id::Node>,
-    ledgers: Vec<Ledger>,
+    limiters: Vec<Limiter>,
     incarnations: Vec<u64>,
     admitted: Vec<(u64, u64)>,
 }
@@ -45,7 +45,7 @@
             .map(|number| id::Node::from(format!("n{number}")))
             .collect();
         let mut fleet = Self {
-            ledgers: vec![Ledger::new(TOLERANCE); count],
+            limiters: vec![Limiter::new(TOLERANCE); count],
             incarnations: vec![1; count],
             admitted: Vec::new(),
             names,
@@ -59,23 +59,28 @@
     fn join(&mut self, index: usize, millis: u64) {
         let mut others = self.names.clone();
         others.remove(index);
-        self.ledgers[index].join(at(millis), &others);
+        self.limiters[index].set_peers(at(millis), &others);
     }
 
     fn restart(&mut self, index: usize, millis: u64) {
-        self.ledgers[index] = Ledger::new(TOLERANCE);
+        self.limiters[index] = Limiter::new(TOLERANCE);
         self.incarnations[index] += 1;
         self.join(index, millis);
     }
 
     /// Exchanges reports between the nodes for which `linked` returns true.
     fn exchange_reports(&mut self, millis: u64, linked: impl Fn(usize, usize) -> bool) {
-        for from in 0..self.ledgers.len() {
-            let usage = self.ledgers[from].usage(at(millis));
-            for to in 0..self.ledgers.len() {
+        for from in 0..self.limiters.len() {
+            let usage = self.limiters[from].take_usage(at(millis));
+            for to in 0..self.limiters.len() {
                 if from != to && linked(from, to) {
                     let (name, incarnation) = (&self.names[from], self.incarnations[from]);
-                    self.ledgers[to].hear(at(millis), name, incarnation, usage.clone());
+                    self.limiters[to].record_peer_usage(
+                        at(millis),
+                        name,
+                        incarnation,
+                        usage.clone(),
+                    );
                 }
             }
         }
@@ -83,7 +88,7 @@
 
     fn request(&mut self, index: usize, millis: u64, quota: &Quota, cost: u64) -> bool {
         let workspace = id::Workspace::from("w");
-        let admitted = self.ledgers[index].admit(at(millis), &workspace, quota, cost);
+        let admitted = self.limiters[index].admit(at(millis), &workspace, quota, cost);
         if admitted.is_ok() {
             self.admitted.push((millis, cost));
         }
@@ -109,7 +114,7 @@
 fn allowed(quota: &Quota) -> u64 {
     let window = TOLERANCE.window.as_secs_f64();
     let within_quota = quota.rate * window + quota.burst;
-    (within_quota * (1.0 + TOLERANCE.part) + TOLERANCE.excess) as u64
+    (within_quota * (1.0 + TOLERANCE.fraction) + TOLERANCE.excess) as u64
 }
 
 /// One workspace asks for many times its quota, in one case mostly at one node,
@@ -217,10 +222,10 @@
 #[test]
 fn a_refusal_tells_what_it_is_based_on() {
     let quota = quota(1000.0);
-    let mut ledger = Ledger::new(Tolerance::default());
+    let mut limiter = Limiter::new(Tolerance::default());
     let workspace = id::Workspace::from("w");
     let exhausted = loop {
-        if let Err(exhausted) = ledger.admit(at(0), &workspace, &quota, 400) {
+        if let Err(exhausted) = limiter.admit(at(0), &workspace, &quota, 400) {
             break exhausted;
         }
     };
@@ -242,12 +247,12 @@
 #[test]
 fn usage_told_counts_from_the_start_of_the_process() {
     let quota = quota(100_000.0);
-    let mut ledger = Ledger::new(TOLERANCE);
+    let mut limiter = Limiter::new(TOLERANCE);
     let workspace = id::Workspace::from("w");
     for millis in [0, 1000, 2000] {
-        ledger.admit(at(millis), &workspace, &quota, 100).unwrap();
+        limiter.admit(at(millis), &workspace, &quota, 100).unwrap();
     }
-    let usage: BTreeMap<_, _> = ledger.usage(at(2000));
+    let usage: BTreeMap<_, _> = limiter.take_usage(at(2000));
     assert!((usage[&workspace].admitted - 300.0).abs() < 1e-9);
 }
 
@@ -281,11 +286,11 @@
         unit: Unit::Requests,
         ..quota(10.0)
     };
-    let mut ledger = Ledger::new(tolerance);
+    let mut limiter = Limiter::new(tolerance);
     let workspace = id::Workspace::from("w");
     let mut admitted = 0;
     for step in 0..1000 {
-        let result = ledger.admit(at(step * 10), &workspace, &quota, 1);
+        let result = limiter.admit(at(step * 10), &workspace, &quota, 1);
         admitted += u32::from(result.is_ok());
     }
     assert!((95..=120).contains(&admitted), "{admitted} in ten seconds");
