--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -12,7 +12,7 @@
 use dottereltally_lib::{
     dispatcher::{Choice, Outcome},
     id,
-    route::{Repeat, Route},
+    route::{Retry, Route},
 };
 use http::{
     HeaderMap, Method, Request, Response, StatusCode, Uri, Version,
@@ -271,7 +271,7 @@
 /// Returns the time limit for the first event of a stream that may be resumed
 /// at another endpoint; none for other requests.
 fn first_event_timeout(route: &Route, choice: &Choice) -> Option<Duration> {
-    let resumable = route.repeat == Repeat::Resume && route.attempts > 1;
+    let resumable = route.retry == Retry::Resume && route.attempts > 1;
     resumable.then(|| choice.expected_first_byte * 3 + FIRST_EVENT_SLACK)
 }
 
--- a/gateway/src/chain.rs
+++ b/gateway/src/chain.rs
@@ -20,7 +20,7 @@
     quarantine::Verdict,
     quota::Limiter,
     refusal,
-    route::{Repeat, Route},
+    route::{Retry, Route},
     time,
 };
 use http::{
@@ -385,7 +385,7 @@
     /// Returns whether a request that was sent may be sent again; takes one
     /// unit of the retry budget for that send.
     pub fn acquire_retry(&self, job: &Job, progress: &mut Progress) -> bool {
-        if progress.may_have_run && job.route.repeat == Repeat::Never {
+        if progress.may_have_run && job.route.retry == Retry::Never {
             return false;
         }
         // The unit is still unused if the send failed to connect.
@@ -495,7 +495,7 @@
                 permit.end(Outcome::Failed);
                 progress.record_send(choice);
                 progress.may_have_run = true;
-                if job.route.repeat == Repeat::Whole {
+                if job.route.retry == Retry::Whole {
                     return Next::Retry(Fallback::Answer(choice.clone(), answer));
                 }
                 self.record_answer(
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -10,7 +10,7 @@
 };
 use dottereltally_lib::{
     dispatcher::{Choice, Outcome, Timing},
-    route::Repeat,
+    route::Retry,
 };
 use futures_util::stream;
 use http::{Response, response};
@@ -187,7 +187,7 @@
     }
 
     fn can_resume(&self) -> bool {
-        self.job.route.repeat == Repeat::Resume
+        self.job.route.retry == Retry::Resume
             && self.progress.sends < self.job.route.attempts
             && (self.last_event_id.is_some() || self.events == 0)
     }
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -31,7 +31,7 @@
     id,
     plan::{Plan, Quota, Service, Unit, Workspace, Workspaces},
     quota::{Limiter, Tolerance},
-    route::{Repeat, Route, Target},
+    route::{Retry, Route, Target},
 };
 use http::{HeaderMap, HeaderValue};
 use tokio::{
@@ -276,7 +276,7 @@
 }
 
 /// Returns a route to one service.
-pub fn route(prefix: &str, repeat: Repeat, attempts: u32) -> Route {
+pub fn route(prefix: &str, retry: Retry, attempts: u32) -> Route {
     Route {
         name: id::Route::from(prefix),
         host: "a.example".to_owned(),
@@ -285,8 +285,8 @@
             service: id::Service::from("s"),
             weight: 1,
         }],
-        repeat,
-        streaming: repeat == Repeat::Resume,
+        retry,
+        streaming: retry == Retry::Resume,
         timeout: Duration::from_secs(3),
         objective: Duration::from_millis(500),
         pause: None,
@@ -299,15 +299,15 @@
 
 /// Returns a plan with the routes that the tests use.
 pub fn plan() -> Plan {
-    let mut streaming = route("/stream/", Repeat::Resume, 3);
+    let mut streaming = route("/stream/", Retry::Resume, 3);
     streaming.streaming = true;
-    let mut once = route("/stream-once/", Repeat::Never, 1);
+    let mut once = route("/stream-once/", Retry::Never, 1);
     once.streaming = true;
-    let mut short = route("/short/", Repeat::Whole, 2);
+    let mut short = route("/short/", Retry::Whole, 2);
     short.timeout = Duration::from_millis(200);
     let routes = vec![
-        route("/safe/", Repeat::Whole, 2),
-        route("/once/", Repeat::Never, 2),
+        route("/safe/", Retry::Whole, 2),
+        route("/once/", Retry::Never, 2),
         streaming,
         once,
         short,
@@ -374,7 +374,7 @@
                 // tried first.
                 data_centre: id::DataCentre::from(if number == 0 { "dc" } else { "far" }),
                 standing: Standing::Live,
-                places: Some(4),
+                capacity: Some(4),
             });
         }
         dispatcher.set_endpoints(clock.now(), records);
--- a/gateway/tests/test_chain.rs
+++ b/gateway/tests/test_chain.rs
@@ -7,7 +7,7 @@
 use common::{
     Endpoint, Gateway, Step, answer_with, header, plan, read_message, route, status, with_keys,
 };
-use dottereltally_lib::{budget::Limits, id, route::Repeat};
+use dottereltally_lib::{budget::Limits, id, route::Retry};
 use rstest::rstest;
 use tokio::{io::AsyncWriteExt, net::TcpStream, sync::Notify, time::timeout};
 
@@ -264,7 +264,7 @@
 
 #[test]
 fn a_test_route_has_the_given_attempts() {
-    assert_eq!(route("/x/", Repeat::Never, 1).attempts, 1);
+    assert_eq!(route("/x/", Retry::Never, 1).attempts, 1);
 }
 
 /// One unit of the retry budget is left, which is enough for one retry.
--- a/gateway/tests/test_endpoints.rs
+++ b/gateway/tests/test_endpoints.rs
@@ -21,7 +21,7 @@
             service: id::Service::from("s"),
             data_centre: id::DataCentre::from("dc"),
             standing,
-            places: Some(4),
+            capacity: Some(4),
         },
         born,
         sequence,
--- a/gateway/tests/test_exchange.rs
+++ b/gateway/tests/test_exchange.rs
@@ -30,7 +30,7 @@
         service: id::Service::from("s"),
         data_centre: id::DataCentre::from("dc"),
         standing: Standing::Leaving,
-        places: Some(4),
+        capacity: Some(4),
     };
     let entry = Entry {
         record,
--- a/gateway/tests/test_home.rs
+++ b/gateway/tests/test_home.rs
@@ -35,7 +35,7 @@
     time::sleep,
 };
 
-const PLACES: u32 = 2;
+const CAPACITY: u32 = 2;
 
 fn node(name: &str, share: u32, calls: &str) -> Node {
     Node {
@@ -55,7 +55,7 @@
         service: id::Service::from("s"),
         data_centre: id::DataCentre::from("dc"),
         standing: Standing::Live,
-        places: Some(PLACES),
+        capacity: Some(CAPACITY),
     };
     dispatcher.set_endpoints(clock.now(), vec![record]);
     Handle::new(dispatcher, clock)
@@ -227,7 +227,7 @@
     let test = async {
         let pair = Pair::linked().await;
         let mut permits = Vec::new();
-        for _ in 0..PLACES {
+        for _ in 0..CAPACITY {
             permits.push(pair.node.admit(request(pair.clock)).await.unwrap());
         }
         let waiting = spawn_local({
@@ -253,7 +253,7 @@
     let test = async {
         let pair = Pair::linked().await;
         let mut permits = Vec::new();
-        for _ in 0..PLACES {
+        for _ in 0..CAPACITY {
             permits.push(pair.node.admit(request(pair.clock)).await.unwrap().1);
         }
         let waiting = spawn_local({
@@ -272,7 +272,7 @@
             pair.proxy.task.abort();
         }
         wait_until(|| pair.node.read(Dispatcher::waiting) > 0).await;
-        assert_eq!(in_flight(&pair.node), PLACES);
+        assert_eq!(in_flight(&pair.node), CAPACITY);
         permits.pop();
         assert!(!waiting.await.unwrap().unwrap());
     };
--- a/lib/examples/costs.rs
+++ b/lib/examples/costs.rs
@@ -84,7 +84,7 @@
         service: "llm".into(),
         data_centre: format!("dc{}", number % 7).into(),
         standing: Standing::Live,
-        places: None,
+        capacity: None,
     };
     (0..replicas).map(record).collect()
 }
--- a/lib/examples/experiment/driver.rs
+++ b/lib/examples/experiment/driver.rs
@@ -199,7 +199,7 @@
             service: engine.service.into(),
             data_centre: format!("dc{}", engine.data_centre).into(),
             standing: Standing::Live,
-            places: None,
+            capacity: None,
         };
         self.engines.iter().enumerate().map(record).collect()
     }
--- a/lib/src/dispatcher/member.rs
+++ b/lib/src/dispatcher/member.rs
@@ -98,7 +98,7 @@
 
     /// Returns the number of requests that it runs at once.
     pub(super) fn capacity(&self) -> u32 {
-        self.record.places.unwrap_or(DEFAULT_CAPACITY).max(1)
+        self.record.capacity.unwrap_or(DEFAULT_CAPACITY).max(1)
     }
 
     /// Returns the number of requests in flight there, or `None` if it takes no
--- a/lib/src/endpoint.rs
+++ b/lib/src/endpoint.rs
@@ -34,7 +34,8 @@
     /// Whether it may get new requests.
     pub standing: Standing,
     /// Number of requests that it runs at once, if known.
-    pub places: Option<u32>,
+    #[serde(rename = "places")]
+    pub capacity: Option<u32>,
 }
 
 /// Load that an endpoint last reported about itself.
--- a/lib/src/plan.rs
+++ b/lib/src/plan.rs
@@ -58,10 +58,11 @@
     /// Each request costs one unit.
     Requests,
     /// Each request costs its prompt tokens and its maximum answer tokens. A
-    /// request without token counts costs `plain`.
+    /// request without token counts costs `default_tokens`.
     Tokens {
         /// Cost of a request without token counts, in tokens.
-        plain: u64,
+        #[serde(rename = "plain")]
+        default_tokens: u64,
     },
 }
 
@@ -82,7 +83,7 @@
     pub fn cost(&self, tokens: Option<u64>) -> u64 {
         match self.unit {
             Unit::Requests => 1,
-            Unit::Tokens { plain } => tokens.unwrap_or(plain),
+            Unit::Tokens { default_tokens } => tokens.unwrap_or(default_tokens),
         }
     }
 }
--- a/lib/src/route.rs
+++ b/lib/src/route.rs
@@ -9,7 +9,7 @@
 
 /// What may be retried after an endpoint may have run the request.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Repeat {
+pub enum Retry {
     /// Nothing: the request runs at most once.
     #[display("never")]
     Never,
@@ -43,7 +43,8 @@
     /// Services that its requests are split between.
     pub targets: Vec<Target>,
     /// What may be retried.
-    pub repeat: Repeat,
+    #[serde(rename = "repeat")]
+    pub retry: Retry,
     /// Whether its answers are streams of events.
     pub streaming: bool,
     /// Maximum time that a request may take.
--- a/lib/tests/engines/mod.rs
+++ b/lib/tests/engines/mod.rs
@@ -155,7 +155,7 @@
                 service: id::Service::from("model"),
                 data_centre: id::DataCentre::from("dc"),
                 standing: Standing::Live,
-                places: u32::try_from(engine.capacity).ok(),
+                capacity: u32::try_from(engine.capacity).ok(),
             });
         }
         records
--- a/lib/tests/support/mod.rs
+++ b/lib/tests/support/mod.rs
@@ -63,7 +63,7 @@
         service: service.into(),
         data_centre: "a".into(),
         standing: Standing::Live,
-        places: None,
+        capacity: None,
     }
 }
 
--- a/lib/tests/test_quota.rs
+++ b/lib/tests/test_quota.rs
@@ -23,7 +23,9 @@
     Quota {
         rate,
         burst: rate,
-        unit: Unit::Tokens { plain: 200 },
+        unit: Unit::Tokens {
+            default_tokens: 200,
+        },
     }
 }
 
--- a/lib/tests/test_route.rs
+++ b/lib/tests/test_route.rs
@@ -4,7 +4,7 @@
 
 use dottereltally_lib::{
     id,
-    route::{Repeat, Route, Table, Target},
+    route::{Retry, Route, Table, Target},
 };
 use rstest::rstest;
 
@@ -17,7 +17,7 @@
             service: id::Service::from("s"),
             weight: 1,
         }],
-        repeat: Repeat::Never,
+        retry: Retry::Never,
         streaming: false,
         timeout: Duration::from_secs(1),
         objective: Duration::from_millis(100),
--- a/node/tests/test_dispatcher.rs
+++ b/node/tests/test_dispatcher.rs
@@ -82,7 +82,7 @@
             service: id::Service::from("yard-app"),
             data_centre: id::DataCentre::from("plovdiv"),
             standing: Standing::Live,
-            places: None,
+            capacity: None,
         }]));
         Self {
             sender,
--- a/node/tests/test_observer.rs
+++ b/node/tests/test_observer.rs
@@ -132,7 +132,7 @@
         service: "tally-llm".into(),
         data_centre: "plovdiv".into(),
         standing: Standing::Live,
-        places: None,
+        capacity: None,
     }
 }
 
--- a/node/tests/test_path_random.rs
+++ b/node/tests/test_path_random.rs
@@ -108,7 +108,7 @@
                 service: id::Service::from(service),
                 data_centre: id::DataCentre::from("plovdiv"),
                 standing: Standing::Live,
-                places: None,
+                capacity: None,
             });
         }
     }
--- a/store/src/hosts.rs
+++ b/store/src/hosts.rs
@@ -172,7 +172,7 @@
             address,
             data_centre,
             standing,
-            places: None,
+            capacity: None,
         });
         Ok(())
     }
