--- a/node/src/address.rs
+++ b/node/src/address.rs
@@ -1,4 +1,4 @@
-//! Addresses of the endpoints.
+//! The addresses of the endpoints, as the host list gives them.
 
 use std::{
     collections::HashMap,
@@ -14,15 +14,15 @@
 
 use crate::{dispatcher::Resolve, hosts};
 
-/// Addresses by endpoint; clones share them.
+/// Maps endpoints to their addresses; clones share the map.
 #[derive(Clone, Debug, Default)]
 pub struct Book {
     addresses: Arc<RwLock<HashMap<id::Endpoint, String>>>,
-    read: Arc<AtomicBool>,
+    loaded: Arc<AtomicBool>,
 }
 
 impl Book {
-    /// Replaces all addresses.
+    /// Replaces all addresses by those of the records.
     pub fn replace(&self, records: &[endpoint::Record]) {
         let mut addresses = HashMap::with_capacity(records.len());
         for record in records {
@@ -32,17 +32,20 @@
             .addresses
             .write()
             .unwrap_or_else(PoisonError::into_inner) = addresses;
-        self.read.store(true, Ordering::Release);
+        self.loaded.store(true, Ordering::Release);
     }
 
-    /// Returns whether a host list has been read.
+    /// Returns whether a host list has been loaded.
     #[must_use]
     pub fn is_read(&self) -> bool {
-        self.read.load(Ordering::Acquire)
+        self.loaded.load(Ordering::Acquire)
     }
 
-    /// Follows the host list; returns it as far as the book has it, so that
-    /// no endpoint is known elsewhere before its address is.
+    /// Keeps the addresses up to date with the host list.
+    ///
+    /// Returns a receiver that gets each snapshot only after its addresses
+    /// were stored, so that no reader learns of an endpoint whose address is
+    /// still unknown.
     #[must_use]
     pub fn follow(&self, mut hosts: hosts::Receiver) -> hosts::Receiver {
         let (sender, receiver) = watch::channel(None);
@@ -65,7 +68,7 @@
         receiver
     }
 
-    /// Returns the address of an endpoint.
+    /// Returns the address of an endpoint, if it is known.
     #[must_use]
     pub fn get(&self, endpoint: &id::Endpoint) -> Option<String> {
         let addresses = self
@@ -75,7 +78,7 @@
         addresses.get(endpoint).cloned()
     }
 
-    /// Returns the book as a function.
+    /// Returns a function that looks up addresses in this book.
     #[must_use]
     pub fn resolve(&self) -> Resolve {
         let book = self.clone();
--- a/node/src/body.rs
+++ b/node/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers.
+//! Bodies of responses to callers.
 
 use std::{
     convert::Infallible,
@@ -11,14 +11,15 @@
 use http_body::{Frame, SizeHint};
 use http_body_util::Full;
 
-/// The answer was cut short; the connection ends so that the caller can tell.
+/// The response ended early; its connection is closed so that the caller can
+/// detect it.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-#[display("the endpoint's answer was cut short; send the request again if it is idempotent")]
+#[display("the endpoint's response was cut short; send the request again if it is idempotent")]
 pub struct Cut;
 
 type Stream = Pin<Box<dyn http_body::Body<Data = Bytes, Error = Cut> + Send>>;
 
-/// Body of an answer.
+/// Body of a response: either known in full or streamed.
 pub struct Body(Kind);
 
 enum Kind {
@@ -27,13 +28,13 @@
 }
 
 impl Body {
-    /// Builds a body that is known as a whole.
+    /// Builds a body from its complete content.
     #[must_use]
     pub fn full(bytes: Bytes) -> Self {
         Self(Kind::Full(Full::new(bytes)))
     }
 
-    /// Builds a body that is passed on as it comes.
+    /// Builds a body that is streamed as its frames arrive.
     #[must_use]
     pub fn stream(
         stream: impl http_body::Body<Data = Bytes, Error = Cut> + Send + 'static,
--- a/node/src/operations.rs
+++ b/node/src/operations.rs
@@ -1,4 +1,4 @@
-//! Pages for operators: metrics, health and status.
+//! HTTP pages for operators: metrics, health and status.
 
 use std::future::Future;
 
@@ -14,50 +14,50 @@
 const JSON: &str = "application/json";
 const TEXT: &str = "text/plain; charset=utf-8";
 
-/// State of a node, as its status page tells it.
+/// State of a node as shown on its status page.
 #[derive(Clone, Debug, Serialize)]
 pub struct Status {
-    /// Its name.
+    /// Name of the node.
     pub node: id::Node,
-    /// Its data centre.
+    /// Data centre of the node.
     pub data_centre: id::DataCentre,
-    /// The generation in force.
+    /// Generation of the configuration in force.
     pub generation: id::Generation,
-    /// Whether it is shutting down.
+    /// Whether the node is shutting down.
     pub draining: bool,
-    /// Whether the platform answers.
+    /// Whether the platform responds.
     pub platform: bool,
-    /// Live peers.
+    /// Peers that are live.
     pub peers: Vec<id::Node>,
-    /// Services of the operators' text.
+    /// Services of the configuration.
     pub services: Vec<report::Service>,
     /// Endpoints of the host list.
     pub endpoints: Vec<report::Endpoint>,
 }
 
-/// Reads the state of the node.
+/// Provides the state of the node.
 pub trait Source: Send + Sync + 'static {
     /// Returns the state.
     fn status(&self) -> impl Future<Output = Status> + Send;
 
-    /// Returns whether the node takes requests.
+    /// Returns whether the node accepts requests.
     fn is_ready(&self) -> bool;
 }
 
-/// The pages.
+/// Serves the pages.
 pub struct Pages<S> {
     registry: Registry,
     source: S,
 }
 
 impl<S: Source> Pages<S> {
-    /// Builds the pages over a filled registry.
+    /// Builds the pages from a registry that holds all metrics.
     #[must_use]
     pub fn new(registry: Registry, source: S) -> Self {
         Self { registry, source }
     }
 
-    /// Returns the page that a request asks for.
+    /// Returns the page for a request.
     pub async fn get(&self, method: &Method, path: &str) -> Response<Body> {
         if method != Method::GET {
             return page(StatusCode::METHOD_NOT_ALLOWED, TEXT, "use GET\n");
@@ -87,7 +87,7 @@
             Err(error) => page(
                 StatusCode::INTERNAL_SERVER_ERROR,
                 TEXT,
-                format!("the metrics can't be encoded: {error}; report this\n"),
+                format!("the metrics can't be encoded: {error}; report this as a bug\n"),
             ),
         }
     }
@@ -98,7 +98,7 @@
             Err(error) => page(
                 StatusCode::INTERNAL_SERVER_ERROR,
                 TEXT,
-                format!("the status can't be encoded: {error}; report this\n"),
+                format!("the status can't be encoded: {error}; report this as a bug\n"),
             ),
         }
     }
--- a/node/src/outlet.rs
+++ b/node/src/outlet.rs
@@ -1,5 +1,5 @@
-//! Carries out the effects of the decision core that concern no waiting
-//! request.
+//! Carries out the effects of the decision core that do not answer a waiting
+//! request: probes, quarantine marks and messages to peers.
 
 use std::sync::{Arc, OnceLock};
 
@@ -17,15 +17,16 @@
     peer::{self, Peers},
 };
 
-/// Where the effects go.
+/// Carries out the effects through the other parts of the node.
 pub struct Outlet {
     /// Addresses of the endpoints to probe.
     pub book: Book,
-    /// The peers.
+    /// Sends admission messages to the peers.
     pub peers: peer::Handle,
-    /// The membership, which spreads fingerprints; set once it runs.
+    /// Membership protocol, which spreads quarantined fingerprints; set once it
+    /// runs.
     pub membership: Arc<OnceLock<membership::Handle>>,
-    /// Marks of suspected requests that the core asked to spread.
+    /// Counts the fingerprints that the core asked to spread.
     pub marks: Counter,
 }
 
--- a/node/src/process.rs
+++ b/node/src/process.rs
@@ -1,4 +1,4 @@
-//! What the process itself takes, read from the host on each scrape.
+//! Processor time and memory of the process, read from `/proc` on each scrape.
 
 use std::{fmt, fs};
 
@@ -9,12 +9,12 @@
     registry::Unit,
 };
 
-/// Ticks of a processor-time counter in `/proc` per second.
+/// Clock ticks per second of the processor times in `/proc`.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Position of the user time in `/proc/self/stat`, counted after the name.
+/// Index of the user time in `/proc/self/stat`, counted after the process name.
 const USER_TIME_FIELD: usize = 11;
 
-/// Processor time and memory of the process.
+/// Collects the processor time and the resident memory of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct Process;
 
--- a/node/src/prompt.rs
+++ b/node/src/prompt.rs
@@ -1,19 +1,19 @@
-//! What the scheduler reads of a model request's body.
+//! The fields that the scheduler reads from the body of a model request.
 
 use std::borrow::Cow;
 
 use serde::Deserialize;
 
-/// Part of an OpenAI-style request.
+/// The relevant fields of an OpenAI-style request.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Model that it names.
+    /// Name of the model.
     pub model: Option<String>,
-    /// Contents of its messages, joined by line feeds.
+    /// Contents of the messages and the prompt, joined by line feeds.
     pub text: String,
-    /// Tokens that it wants at the most.
+    /// Maximum number of output tokens.
     pub max_tokens: Option<u64>,
-    /// Whether the answer is to come token by token.
+    /// Whether the response is streamed token by token.
     pub stream: bool,
 }
 
@@ -54,11 +54,11 @@
 }
 
 impl Prompt {
-    /// Reads the body of a model request.
+    /// Parses the body of a model request.
     ///
     /// # Errors
     ///
-    /// Fails if it is not JSON of the expected shape.
+    /// Fails if the body is not JSON of the expected structure.
     pub fn parse(body: &[u8]) -> Result<Self, serde_json::Error> {
         let wire: WireRequest<'_> = serde_json::from_slice(body)?;
         let mut text = String::new();
--- a/node/src/service.rs
+++ b/node/src/service.rs
@@ -1,4 +1,4 @@
-//! What this node answers its peers.
+//! Handles the requests and messages of peers.
 
 use std::sync::OnceLock;
 
@@ -15,7 +15,7 @@
     replay::Attempts,
 };
 
-/// Answers peers from the parts of this node.
+/// Answers peers from the state of this node.
 pub struct Service {
     configuration: configuration::Handle,
     attempts: Attempts,
@@ -23,8 +23,8 @@
 }
 
 impl Service {
-    /// Builds the service; admission messages are dropped until the
-    /// dispatcher is known.
+    /// Builds the service; admission messages are dropped until
+    /// [`connect`](Self::connect) is called.
     #[must_use]
     pub fn new(configuration: configuration::Handle, attempts: Attempts) -> Self {
         Self {
@@ -34,9 +34,9 @@
         }
     }
 
-    /// Makes the dispatcher known.
+    /// Sets the dispatcher that receives admission messages.
     pub fn connect(&self, dispatcher: Sender) {
-        // The first dispatcher stays; there is one a process.
+        // Already set: the process has only one dispatcher.
         let _ = self.dispatcher.set(dispatcher);
     }
 }
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -7,54 +7,54 @@
 use http::{Request, Response};
 use http_body_util::Full;
 
-/// A request as it is handed to an endpoint.
+/// A request in the form that is sent to an endpoint.
 pub type Message = Request<Full<Bytes>>;
 
 /// A connection to an endpoint broke.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("the connection to the endpoint broke: {cause}; check the endpoint")]
 pub struct Broken {
-    /// What the connection said.
+    /// The error of the connection.
     pub cause: String,
 }
 
-/// Why a request got no answer's head.
+/// Why a request got no response head.
 #[derive(Debug, Display)]
 pub enum Failure {
-    /// Nothing was handed over; the message is returned as the proof.
+    /// Nothing was sent, which the returned message proves.
     #[display("the endpoint can't be reached: {cause}; check the endpoint")]
     Unsent {
-        /// The whole message.
+        /// The unsent message.
         message: Box<Message>,
-        /// What the connection said.
+        /// The error of the connection.
         cause: String,
     },
-    /// Bytes may have been handed over.
+    /// Bytes may have been sent.
     #[display("{_0}")]
     Broken(Broken),
 }
 
-/// Connection that a request may use.
+/// Whether a request may use an idle connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// An idle connection, if there is one.
+    /// Use an idle connection if there is one.
     Idle,
-    /// Only a new one, which can't have fallen silent unseen.
+    /// Open a new connection; an idle one may have been lost without notice.
     Never,
 }
 
-/// Hands requests to endpoints.
+/// Sends requests to endpoints.
 pub trait Client: Clone + Send + Sync + 'static {
-    /// Body of an answer; dropping it before its end cancels the request.
+    /// Body of a response; dropping it before its end cancels the request.
     type Body: http_body::Body<Data = Bytes, Error = Broken> + Send + Unpin + 'static;
 
-    /// Sends a request and waits for the answer's head.
+    /// Sends a request and waits for the head of the response.
     ///
     /// Dropping the future cancels the request.
     ///
     /// # Errors
     ///
-    /// Fails with [`Failure::Unsent`] only if nothing was handed over.
+    /// Fails with [`Failure::Unsent`] only if nothing was sent.
     fn send(
         &self,
         address: &str,
