--- a/node/src/pool.rs
+++ b/node/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints, one request at a time on each.
+//! Pool of HTTP/1.1 connections to endpoints, each with one request at a time.
 
 use std::{
     collections::HashMap,
@@ -23,31 +23,32 @@
 
 use crate::upstream::{Broken, Client, Failure, Message, Reuse};
 
-/// Unanswered probes that end a connection.
+/// Unanswered keep-alive probes after which a connection is closed.
 const KEEPALIVE_RETRIES: u32 = 3;
-/// Time for a returned connection to become ready for the next request.
+/// Time limit for an idle connection to become ready for the next request.
 const READY_TIMEOUT: Duration = Duration::from_millis(10);
-/// Part of the time that an endpoint keeps idle connections in which they are
-/// used again; a request must not meet the end of its connection.
-const KEPT_PART: f64 = 0.6;
-/// Header by which an endpoint tells how long it keeps idle connections.
-const KEEP_ALIVE: &str = "keep-alive";
-/// Idle connections kept for one endpoint.
-const MAX_IDLE: usize = 64;
+/// Fraction of the endpoint's keep-alive timeout for which an idle connection is
+/// reused; a request sent later could meet the endpoint closing the connection.
+const KEEP_ALIVE_FRACTION: f64 = 0.6;
+/// Header in which an endpoint states how long it keeps idle connections open.
+const KEEP_ALIVE_HEADER: &str = "keep-alive";
+/// Maximum number of idle connections per endpoint.
+const MAX_IDLE_PER_ENDPOINT: usize = 64;
 
 /// Time limits of connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// For a connection to be made.
+    /// Time to open a connection.
     pub connect: Duration,
-    /// Without traffic, after which the host probes a connection.
+    /// Time without traffic after which the kernel sends a keep-alive probe.
     pub probe: Duration,
-    /// Between two such probes.
+    /// Time between two keep-alive probes.
     pub probe_interval: Duration,
-    /// For data to be acknowledged.
+    /// Time for sent data to be acknowledged, after which the kernel closes the
+    /// connection.
     pub unacknowledged: Duration,
-    /// Without a request, after which a connection is not used any more,
-    /// unless its endpoint says that it closes earlier.
+    /// Time for which an idle connection is reused; shorter if its endpoint
+    /// announces a shorter keep-alive timeout.
     pub idle: Duration,
 }
 
@@ -63,20 +64,22 @@
     }
 }
 
-/// Client with a pool of idle connections by address.
+/// Client that keeps idle connections by address; clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     limits: Limits,
     idle: Arc<Mutex<HashMap<String, Vec<Idle>>>>,
 }
 
+/// An idle connection and the time until which it is reused.
 #[derive(Debug)]
 struct Idle {
     connection: Connection,
-    until: Instant,
+    expires: Instant,
 }
 
-/// An open connection; dropping it closes the socket.
+/// An open connection and the task that drives it; dropping it closes the
+/// socket.
 #[derive(Debug)]
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -111,7 +114,7 @@
     }
 }
 
-/// Lets the host end a connection that the network has lost track of.
+/// Lets the kernel close a connection whose other side is unreachable.
 ///
 /// # Errors
 ///
@@ -136,11 +139,11 @@
         }
     }
 
-    /// Takes the idle connection that was used last.
+    /// Removes and returns the most recently used idle connection that is usable.
     async fn take(&self, address: &str) -> Option<Connection> {
         loop {
             let idle = self.pop(address)?;
-            if idle.until <= Instant::now() {
+            if idle.expires <= Instant::now() {
                 continue;
             }
             let mut connection = idle.connection;
@@ -160,17 +163,21 @@
         idle
     }
 
+    /// Keeps a connection as idle for the given time, if it is still open.
     fn put(&self, address: String, connection: Connection, idle: Duration) {
         if connection.sender.is_closed() || idle.is_zero() {
             return;
         }
         let now = Instant::now();
-        let until = now + idle;
+        let expires = now + idle;
         let mut pool = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let list = pool.entry(address).or_default();
-        list.retain(|idle| idle.until > now);
-        if list.len() < MAX_IDLE {
-            list.push(Idle { connection, until });
+        list.retain(|idle| idle.expires > now);
+        if list.len() < MAX_IDLE_PER_ENDPOINT {
+            list.push(Idle {
+                connection,
+                expires,
+            });
         }
     }
 
@@ -215,8 +222,8 @@
                 });
             }
         };
-        let idle = kept(response.headers()).map_or(self.limits.idle, |kept| {
-            self.limits.idle.min(kept.mul_f64(KEPT_PART))
+        let idle = keep_alive_timeout(response.headers()).map_or(self.limits.idle, |timeout| {
+            self.limits.idle.min(timeout.mul_f64(KEEP_ALIVE_FRACTION))
         });
         let lease = Lease {
             pool: self.clone(),
@@ -231,9 +238,9 @@
     }
 }
 
-/// Returns how long an endpoint says that it keeps an idle connection.
-fn kept(headers: &HeaderMap) -> Option<Duration> {
-    let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
+/// Returns the `timeout` parameter of the keep-alive header.
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
+    let value = headers.get(KEEP_ALIVE_HEADER)?.to_str().ok()?;
     for parameter in value.split(',') {
         let Some(seconds) = parameter.trim().strip_prefix("timeout=") else {
             continue;
@@ -243,7 +250,7 @@
     None
 }
 
-/// A connection in use and how it is kept afterwards.
+/// A connection in use, with what is needed to return it to the pool.
 #[derive(Debug)]
 struct Lease {
     pool: Pool,
@@ -252,7 +259,7 @@
     idle: Duration,
 }
 
-/// Body of an answer; returns its connection to the pool at its end.
+/// Body of a response; returns its connection to the pool when it ends.
 #[derive(Debug)]
 pub struct Answer {
     body: Incoming,
--- a/node/src/replay.rs
+++ b/node/src/replay.rs
@@ -1,10 +1,10 @@
-//! What became of the attempts of this node that hold or held a claim.
+//! Stores the state of this node's attempts that hold or held a claim.
 //!
-//! Answers are kept so that they can be given again. Attempts that were given
-//! up before dispatch are kept so that another attempt may take their claim
-//! over. Both are bounded in bytes and time; an attempt that is no longer
-//! known counts as one that may have run. Attempts that have not ended are
-//! never dropped.
+//! Responses are kept so that they can be replayed to repeated calls. Attempts
+//! that were abandoned before dispatch are kept so that another attempt can
+//! take over their claim. Both are limited in size and time; an attempt that
+//! has been evicted counts as one that may have run. Attempts that have not
+//! ended are never evicted.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -20,17 +20,17 @@
 
 use crate::peer::{Answer, Response};
 
-/// Memory that one attempt takes besides its answer, bytes.
-const ATTEMPT_SIZE: usize = 512;
+/// Estimated memory of an ended attempt besides its response, bytes.
+const ATTEMPT_OVERHEAD_BYTES: usize = 512;
 
-/// Bounds of what is kept of ended attempts.
+/// Limits on the ended attempts that are kept.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Memory for all of them, bytes.
+    /// Memory of all ended attempts together, bytes.
     pub total: usize,
-    /// Size of one answer, bytes; a larger one is not kept.
+    /// Size of one response body, bytes; a larger one is not kept.
     pub answer: usize,
-    /// Time that each is kept.
+    /// Time for which each ended attempt is kept.
     pub retention: Duration,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// Counters of the kept attempts.
+/// Metrics of the ended attempts that are kept.
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
     evicted: Counter,
@@ -53,7 +53,7 @@
 }
 
 impl Counters {
-    /// Registers the counters.
+    /// Registers the metrics.
     pub fn register(&self, registry: &mut Registry) {
         registry.register(
             "replay_evicted",
@@ -76,32 +76,34 @@
 /// State of one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum State {
-    /// Its claim may be on its way.
+    /// Its claim may have been sent and is not confirmed yet.
     Claiming,
     /// It holds its claim.
     Held,
-    /// Bytes may have been handed to an endpoint.
+    /// Bytes may have been sent to an endpoint.
     Dispatched,
-    /// It was answered.
+    /// It ended with this response.
     Done(Response),
-    /// It was given up before dispatch, for good.
+    /// It was abandoned before dispatch and will never run.
     NotRun,
-    /// It was dispatched and its answer is not known.
+    /// It was dispatched and its response is unknown.
     Lost,
 }
 
+/// The claim and the state of an attempt.
 struct Attempt {
     claim: String,
     state: State,
 }
 
-/// An ended attempt in the order of ending.
+/// An entry of the queue of ended attempts, oldest first.
 struct Ended {
     token: String,
     at: Instant,
     size: usize,
 }
 
+/// Attempts by token, and the queue from which ended ones are evicted.
 #[derive(Default)]
 struct Inner {
     attempts: HashMap<String, Attempt>,
@@ -124,7 +126,7 @@
 }
 
 impl Attempts {
-    /// Builds an empty set.
+    /// Builds an empty store.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
         Self {
@@ -134,13 +136,13 @@
         }
     }
 
-    /// Returns the counters.
+    /// Returns the metrics.
     #[must_use]
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Returns what became of an attempt.
+    /// Returns the state of an attempt in the form sent to peers.
     #[must_use]
     pub fn answer(&self, claim: &str, token: &str) -> Answer {
         let inner = self.lock();
@@ -172,36 +174,36 @@
         assert!(old.is_none(), "token {token} was used by two attempts");
     }
 
-    /// Removes an attempt whose claim was never handed over.
+    /// Removes an attempt whose claim was never sent.
     pub(crate) fn forget(&self, token: &str) {
         let old = self.lock().attempts.remove(token);
         assert!(
             old.is_some_and(|attempt| attempt.state == State::Claiming),
-            "token {token} was forgotten after its claim was sent"
+            "attempt {token} was removed after its claim was sent"
         );
     }
 
     /// Records that an attempt holds its claim.
     pub(crate) fn hold(&self, token: &str) {
-        self.step(token, &State::Claiming, State::Held);
+        self.transition(token, &State::Claiming, State::Held);
     }
 
-    /// Records that an attempt may be handed to an endpoint from here on.
+    /// Records that an attempt may be sent to an endpoint from now on.
     pub(crate) fn dispatch(&self, token: &str) {
-        self.step(token, &State::Held, State::Dispatched);
+        self.transition(token, &State::Held, State::Dispatched);
     }
 
-    /// Takes a dispatch back that handed nothing over.
+    /// Reverts a dispatch that sent nothing.
     pub(crate) fn undo(&self, token: &str) {
-        self.step(token, &State::Dispatched, State::Held);
+        self.transition(token, &State::Dispatched, State::Held);
     }
 
-    /// Records that an attempt was given up before dispatch, for good.
+    /// Records that an attempt was abandoned before dispatch and will never run.
     pub(crate) fn give_up(&self, token: &str) {
         self.end(token, State::NotRun);
     }
 
-    /// Records the answer of a dispatched attempt.
+    /// Records the response to a dispatched attempt.
     pub(crate) fn complete(&self, token: &str, response: Response) {
         if response.body.len() > self.limits.answer {
             self.counters.oversized.inc();
@@ -211,24 +213,24 @@
         self.end(token, State::Done(response));
     }
 
-    /// Records that the answer of a dispatched attempt is not known.
+    /// Records that the response to a dispatched attempt is unknown.
     pub(crate) fn lose(&self, token: &str) {
         self.end(token, State::Lost);
     }
 
-    /// Moves an attempt from one state to the next.
+    /// Moves an attempt that has not ended to its next state.
     ///
     /// # Panics
     ///
-    /// Panics if the attempt is in any other state, as it could be dispatched
-    /// twice then.
-    fn step(&self, token: &str, from: &State, to: State) {
+    /// Panics if the attempt is not in the state `from`, as it could then be
+    /// dispatched twice.
+    fn transition(&self, token: &str, from: &State, to: State) {
         let mut inner = self.lock();
         let attempt = inner.attempts.get_mut(token);
         let state = attempt.map(|attempt| &mut attempt.state);
         assert!(
             state.as_deref() == Some(from),
-            "token {token} is {state:?} where {from:?} was due"
+            "attempt {token} is {state:?}, expected {from:?}"
         );
         if let Some(state) = state {
             *state = to;
@@ -239,20 +241,23 @@
     ///
     /// # Panics
     ///
-    /// Panics if it has ended before, or is given up after its dispatch, or
-    /// has an answer without a dispatch.
+    /// Panics if it is unknown or has already ended, is abandoned after its
+    /// dispatch, or gets a response without a dispatch.
     fn end(&self, token: &str, to: State) {
         let now = Instant::now();
         let mut inner = self.lock();
         let attempt = inner.attempts.get_mut(token);
         let state = attempt.map(|attempt| &mut attempt.state);
-        let due = match state.as_deref() {
+        let is_allowed = match state.as_deref() {
             Some(State::Claiming | State::Held) => to == State::NotRun,
             Some(State::Dispatched) => to != State::NotRun,
             _ => false,
         };
-        assert!(due, "token {token} is {state:?} and can't become {to:?}");
-        let mut size = ATTEMPT_SIZE;
+        assert!(
+            is_allowed,
+            "attempt {token} is {state:?} and can't become {to:?}"
+        );
+        let mut size = ATTEMPT_OVERHEAD_BYTES;
         if let State::Done(response) = &to {
             size += response.body.len() + response.content_type.len();
         }
@@ -268,7 +273,7 @@
         self.evict(&mut inner, now);
     }
 
-    /// Drops the oldest ended attempts that exceed the limits.
+    /// Evicts the oldest ended attempts until the rest are within the limits.
     fn evict(&self, inner: &mut Inner, now: Instant) {
         while let Some(oldest) = inner.ended.front() {
             let expired = now.duration_since(oldest.at) > self.limits.retention;
--- a/node/src/rules.rs
+++ b/node/src/rules.rs
@@ -1,4 +1,4 @@
-//! The configuration in force in the form that the request path reads.
+//! The configuration in force, indexed for the request path.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -14,24 +14,24 @@
 /// SHA-256 digest of a caller's key.
 pub type KeyDigest = [u8; 32];
 
-/// What the request path reads of a configuration.
+/// The parts of a configuration that the request path uses.
 #[derive(Debug)]
 pub struct Rules {
-    /// Its generation.
+    /// Generation of the configuration.
     pub generation: id::Generation,
-    /// Its text.
+    /// The configuration itself.
     pub text: Arc<text::Text>,
     workspaces: HashMap<KeyDigest, id::Workspace>,
 }
 
-/// Reads the rules in force.
+/// Receives the rules in force; none until there is a configuration.
 pub type Receiver = watch::Receiver<Option<Arc<Rules>>>;
 
 impl Rules {
-    /// Builds the rules of a checked text.
+    /// Builds the rules from a validated configuration.
     #[must_use]
     pub fn new(generation: id::Generation, text: Arc<text::Text>) -> Self {
-        let workspaces = index(&text.workspaces);
+        let workspaces = index_keys(&text.workspaces);
         Self {
             generation,
             text,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Returns the workspace of a caller's key.
+    /// Returns the workspace to which a caller's key belongs.
     #[must_use]
     pub fn workspace(&self, key: &[u8]) -> Option<&id::Workspace> {
         let digest: KeyDigest = Sha256::digest(key).into();
@@ -47,10 +47,11 @@
     }
 }
 
-/// Follows the configuration for as long as somebody reads the rules.
+/// Builds the rules anew at each change of the configuration, until every
+/// receiver is dropped.
 #[must_use]
 pub fn follow(mut configuration: configuration::Receiver) -> Receiver {
-    let (sender, receiver) = watch::channel(read(&configuration));
+    let (sender, receiver) = watch::channel(current(&configuration));
     tokio::spawn(async move {
         loop {
             tokio::select! {
@@ -60,25 +61,29 @@
                 () = sender.closed() => break,
             }
             configuration.mark_unchanged();
-            sender.send_replace(read(&configuration));
+            sender.send_replace(current(&configuration));
         }
     });
     receiver
 }
 
-fn read(configuration: &configuration::Receiver) -> Option<Arc<Rules>> {
-    let current = configuration.borrow().clone()?;
-    let rules = Rules::new(current.record.generation, Arc::clone(&current.text));
+fn current(configuration: &configuration::Receiver) -> Option<Arc<Rules>> {
+    let configuration = configuration.borrow().clone()?;
+    let rules = Rules::new(
+        configuration.record.generation,
+        Arc::clone(&configuration.text),
+    );
     Some(Arc::new(rules))
 }
 
-fn index(
+/// Maps the digests of all keys to their workspaces.
+fn index_keys(
     workspaces: &BTreeMap<id::Workspace, text::Workspace>,
 ) -> HashMap<KeyDigest, id::Workspace> {
     let mut index = HashMap::new();
     for (name, workspace) in workspaces {
         for key in &workspace.keys {
-            let Some(digest) = decode(key) else {
+            let Some(digest) = decode_digest(key) else {
                 continue;
             };
             index.insert(digest, name.clone());
@@ -87,8 +92,8 @@
     index
 }
 
-/// Returns the digest that 64 hexadecimal digits stand for.
-fn decode(text: &str) -> Option<KeyDigest> {
+/// Decodes a digest from 64 hexadecimal digits.
+fn decode_digest(text: &str) -> Option<KeyDigest> {
     if text.len() != 64 {
         return None;
     }
--- a/node/src/sse.rs
+++ b/node/src/sse.rs
@@ -1,19 +1,19 @@
-//! Reads what the scheduler needs from a stream of server-sent events.
+//! Scans a stream of server-sent events for its end and its token usage.
 
 use serde::Deserialize;
 
-/// Longest line that is looked into, bytes.
+/// Maximum length of a line that is scanned, bytes; longer lines are skipped.
 const MAX_LINE_BYTES: usize = 64 * 1024;
 
 const DATA: &[u8] = b"data:";
 const DONE: &[u8] = b"[DONE]";
 
-/// Token counts that an engine reports with its answer.
+/// Token counts that an engine reports in its response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Prompt tokens found in the engine's cache.
     pub cached: u64,
-    /// Tokens generated.
+    /// Generated tokens.
     pub output: u64,
 }
 
@@ -36,7 +36,7 @@
 }
 
 impl Usage {
-    /// Returns the usage member of an answer or of an event's data, if any.
+    /// Parses the `usage` member of a response or of an event's data, if any.
     #[must_use]
     pub fn parse(json: &[u8]) -> Option<Self> {
         let answer: WireAnswer = serde_json::from_slice(json).ok()?;
@@ -50,18 +50,19 @@
     }
 }
 
-/// Follows a stream without changing or keeping its frames.
+/// Scans a stream incrementally, keeping only the unfinished line and the last
+/// event.
 #[derive(Debug, Default)]
 pub struct Scanner {
     line: Vec<u8>,
     overlong: bool,
-    last: Vec<u8>,
+    last_data: Vec<u8>,
     events: u64,
     done: bool,
 }
 
 impl Scanner {
-    /// Takes the next bytes of the stream; returns the number of data events
+    /// Scans the next bytes of the stream; returns the number of data events
     /// that ended in them.
     pub fn feed(&mut self, mut bytes: &[u8]) -> u64 {
         let before = self.events;
@@ -69,41 +70,42 @@
             let (head, rest) = bytes.split_at(end);
             bytes = &rest[1..];
             if self.line.is_empty() && !self.overlong {
-                self.line_end(head);
+                self.end_line(head);
                 continue;
             }
-            self.keep(head);
+            self.buffer(head);
             let line = std::mem::take(&mut self.line);
             if !self.overlong {
-                self.line_end(&line);
+                self.end_line(&line);
             }
             self.line = line;
             self.line.clear();
             self.overlong = false;
         }
-        self.keep(bytes);
+        self.buffer(bytes);
         self.events - before
     }
 
-    /// Returns whether the stream said that it is whole.
+    /// Returns whether the final `[DONE]` event was received.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.done
     }
 
-    /// Returns the data events before the last, `[DONE]`.
+    /// Returns the number of data events, without `[DONE]`.
     #[must_use]
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    /// Returns the usage of the last event before `[DONE]`, if it told any.
+    /// Returns the usage in the last event before `[DONE]`, if it has any.
     #[must_use]
     pub fn usage(&self) -> Option<Usage> {
-        Usage::parse(&self.last)
+        Usage::parse(&self.last_data)
     }
 
-    fn keep(&mut self, part: &[u8]) {
+    /// Appends to the unfinished line, or drops it if it becomes too long.
+    fn buffer(&mut self, part: &[u8]) {
         if self.line.len() + part.len() > MAX_LINE_BYTES {
             self.overlong = true;
             self.line.clear();
@@ -113,7 +115,8 @@
         }
     }
 
-    fn line_end(&mut self, line: &[u8]) {
+    /// Handles a complete line; a data line counts as an event.
+    fn end_line(&mut self, line: &[u8]) {
         let Some(data) = line.strip_prefix(DATA) else {
             return;
         };
@@ -123,7 +126,7 @@
             return;
         }
         self.events += 1;
-        self.last.clear();
-        self.last.extend_from_slice(data);
+        self.last_data.clear();
+        self.last_data.extend_from_slice(data);
     }
 }
--- a/node/src/write_timeout.rs
+++ b/node/src/write_timeout.rs
@@ -1,4 +1,4 @@
-//! Ends connections whose other side does not take what is sent.
+//! Limits how long a write to a connection may block.
 
 use std::{
     future::Future,
@@ -13,28 +13,29 @@
     time::{Instant, Sleep, sleep},
 };
 
-/// A stream whose writes fail once they made no progress for a time.
+/// A stream whose writes fail after they have made no progress for `timeout`.
 pub struct WriteTimeout<T> {
     inner: T,
-    limit: Duration,
+    timeout: Duration,
     timer: Pin<Box<Sleep>>,
     blocked: bool,
 }
 
 impl<T> WriteTimeout<T> {
-    /// Wraps a stream.
+    /// Wraps a stream to fail writes that are blocked for longer than `timeout`.
     #[must_use]
-    pub fn new(inner: T, limit: Duration) -> Self {
+    pub fn new(inner: T, timeout: Duration) -> Self {
         Self {
             inner,
-            limit,
-            timer: Box::pin(sleep(limit)),
+            timeout,
+            timer: Box::pin(sleep(timeout)),
             blocked: false,
         }
     }
 
-    /// Passes a result on, or fails when it was pending for too long.
-    fn bound<V>(
+    /// Returns the result of a write, or an error once writes have been pending
+    /// for too long.
+    fn check_timeout<V>(
         &mut self,
         context: &mut Context<'_>,
         result: Poll<io::Result<V>>,
@@ -45,7 +46,7 @@
         }
         if !self.blocked {
             self.blocked = true;
-            self.timer.as_mut().reset(Instant::now() + self.limit);
+            self.timer.as_mut().reset(Instant::now() + self.timeout);
         }
         match self.timer.as_mut().poll(context) {
             Poll::Ready(()) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
@@ -71,7 +72,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.inner).poll_write(context, bytes);
-        self.bound(context, result)
+        self.check_timeout(context, result)
     }
 
     fn poll_write_vectored(
@@ -80,7 +81,7 @@
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.inner).poll_write_vectored(context, slices);
-        self.bound(context, result)
+        self.check_timeout(context, result)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -89,11 +90,11 @@
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let result = Pin::new(&mut self.inner).poll_flush(context);
-        self.bound(context, result)
+        self.check_timeout(context, result)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let result = Pin::new(&mut self.inner).poll_shutdown(context);
-        self.bound(context, result)
+        self.check_timeout(context, result)
     }
 }
