--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -17,28 +17,28 @@
 
 use crate::clock::Clock;
 
-/// Time between two ticks of the core.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval at which the core receives [`Event::Tick`].
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time beyond a request's deadline after which its wait ends without the
-/// core's decision.
+/// Time after a request's deadline at which its wait ends even if the core has
+/// not decided.
 const DECISION_SLACK: Duration = Duration::from_secs(1);
 
-/// When to come back after a wait without a decision.
+/// `retry-after` of a request that the core did not decide on.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A request that the core refused, with the proof that it did not run.
 #[derive(Debug)]
 pub struct Refused {
-    /// Why, and when to come back.
+    /// The reason, and when to send the request again.
     pub refusal: refusal::Refusal,
-    /// The proof.
+    /// The proof that the request was not dispatched.
     pub proof: NotRun,
 }
 
 /// Handle of the dispatcher; clones share it.
 pub trait Handle: Clone + Send + Sync + 'static {
-    /// Hands an event to the core without waiting.
+    /// Sends an event to the core without waiting.
     fn tell(&self, event: event::Event);
 
     /// Waits until the core has assigned an endpoint.
@@ -54,7 +54,7 @@
     ) -> impl Future<Output = Result<Request<Admitted>, Refused>> + Send;
 
     /// Waits until the core has assigned another endpoint to an admitted
-    /// request that was not handed over.
+    /// request of which nothing was sent.
     ///
     /// Dropping the future withdraws the request.
     ///
@@ -67,15 +67,15 @@
     ) -> impl Future<Output = Result<Request<Admitted>, Refused>> + Send;
 }
 
-/// Returns the address of an endpoint, if it is known.
+/// Function that returns the address of an endpoint, if it is known.
 pub type Resolve = Arc<dyn Fn(&id::Endpoint) -> Option<String> + Send + Sync>;
 
-/// Receivers of the core's effects that concern no waiting request.
+/// Carries out those effects of the core that do not answer a waiting request.
 pub trait Sink: Send + Sync + 'static {
     /// Probes an endpoint on a new connection and reports the result.
     fn probe(&self, core: &Sender, endpoint: id::Endpoint);
 
-    /// Tells the peers of a request that crashed endpoints.
+    /// Tells the peers the fingerprint of a request that crashed endpoints.
     fn quarantine(&self, fingerprint: id::Fingerprint);
 
     /// Sends a message of the admission protocol to a peer.
@@ -84,7 +84,7 @@
 
 type Decision = Result<id::Endpoint, refusal::Refusal>;
 
-/// A request that waits for the core's decision.
+/// A request for an endpoint and the channel for the core's decision.
 #[derive(Debug)]
 pub struct Arrival {
     request: id::Request,
@@ -95,36 +95,36 @@
 /// Message to the dispatcher.
 #[derive(Debug)]
 pub enum Message {
-    /// A request asks for an endpoint, for the first time or again.
+    /// A request needs an endpoint, for the first time or again.
     Arrival(Arrival),
-    /// A request that may wait is not wanted any more.
-    Left(id::Request),
+    /// The caller of a request that may be waiting has left.
+    Withdrawn(id::Request),
     /// An event for the core.
     Event(Event),
-    /// Somebody wants to know the core's view.
+    /// Asks for the core's view.
     Describe(oneshot::Sender<View>),
 }
 
-/// What the core knows of endpoints and services.
+/// The endpoints and services as the core knows them.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// Its endpoints.
+    /// The endpoints.
     pub endpoints: Vec<report::Endpoint>,
-    /// Its services.
+    /// The services.
     pub services: Vec<report::Service>,
 }
 
-/// The actor.
+/// The actor that owns the decision core.
 #[derive(Debug)]
 pub struct Dispatcher;
 
-/// What the actor starts from.
+/// Arguments of the actor.
 pub struct Arguments {
     /// The core.
     pub core: Scheduler,
     /// The clock that drives it.
     pub clock: Clock,
-    /// Receiver of its effects.
+    /// Carries out its effects.
     pub sink: Box<dyn Sink>,
 }
 
@@ -133,7 +133,7 @@
     core: Scheduler,
     clock: Clock,
     sink: Box<dyn Sink>,
-    own: Sender,
+    myself: Sender,
     waiting: HashMap<id::Request, oneshot::Sender<Decision>>,
 }
 
@@ -147,12 +147,12 @@
         myself: ActorRef<Message>,
         arguments: Arguments,
     ) -> Result<State, ActorProcessingErr> {
-        myself.send_interval(TICK, || Message::Event(Event::Tick));
+        myself.send_interval(TICK_INTERVAL, || Message::Event(Event::Tick));
         Ok(State {
             core: arguments.core,
             clock: arguments.clock,
             sink: arguments.sink,
-            own: Sender::new(myself, arguments.clock),
+            myself: Sender::new(myself, arguments.clock),
             waiting: HashMap::new(),
         })
     }
@@ -166,16 +166,16 @@
         match message {
             Message::Arrival(arrival) => {
                 state.waiting.insert(arrival.request, arrival.reply);
-                state.step(arrival.event);
+                state.process(arrival.event);
             }
-            Message::Left(request) => {
+            Message::Withdrawn(request) => {
                 if state.waiting.remove(&request).is_some() {
-                    state.step(Event::Withdrawn(request));
+                    state.process(Event::Withdrawn(request));
                 }
             }
-            Message::Event(event) => state.step(event),
+            Message::Event(event) => state.process(event),
             Message::Describe(reply) => {
-                // Whoever asked may be gone.
+                // The asker may have stopped waiting.
                 let _ = reply.send(state.view());
             }
         }
@@ -192,8 +192,9 @@
         }
     }
 
-    /// Hands an event to the core and carries out what it asks for.
-    fn step(&mut self, event: Event) {
+    /// Passes an event to the core and carries out the effects, until no effect
+    /// causes another event.
+    fn process(&mut self, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             let effects = self.core.handle(self.clock.now(), event);
@@ -203,13 +204,14 @@
         }
     }
 
-    /// Carries out one effect; returns an event if it came to nothing.
+    /// Carries out one effect; returns the event to process if the admitted
+    /// request is no longer waiting.
     fn perform(&mut self, effect: Effect) -> Option<Event> {
         match effect {
             Effect::Admit(request, endpoint) => {
                 let reply = self.waiting.remove(&request);
-                let taken = reply.is_some_and(|reply| reply.send(Ok(endpoint)).is_ok());
-                if !taken {
+                let delivered = reply.is_some_and(|reply| reply.send(Ok(endpoint)).is_ok());
+                if !delivered {
                     return Some(Event::Ended(request, Outcome::Cancelled));
                 }
             }
@@ -218,7 +220,7 @@
                     let _ = reply.send(Err(refusal));
                 }
             }
-            Effect::Probe(endpoint) => self.sink.probe(&self.own, endpoint),
+            Effect::Probe(endpoint) => self.sink.probe(&self.myself, endpoint),
             Effect::Quarantine(fingerprint) => self.sink.quarantine(fingerprint),
             Effect::Send(node, message) => self.sink.send(node, message),
         }
@@ -233,7 +235,7 @@
     clock: Clock,
 }
 
-/// Returns the refusal of a request that the core did not decide on.
+/// Returns the refusal of a request on which the core did not decide.
 fn undecided(reason: refusal::Reason) -> refusal::Refusal {
     refusal::Refusal {
         reason,
@@ -242,13 +244,13 @@
 }
 
 impl Sender {
-    /// Wraps the actor's reference.
+    /// Builds a handle from the actor's reference.
     #[must_use]
     pub fn new(actor: ActorRef<Message>, clock: Clock) -> Self {
         Self { actor, clock }
     }
 
-    /// Returns what the core knows, nothing once it has stopped.
+    /// Returns the core's view, empty once the actor has stopped.
     pub async fn view(&self) -> View {
         let (reply, receiver) = oneshot::channel();
         self.cast(Message::Describe(reply));
@@ -256,10 +258,11 @@
     }
 
     fn cast(&self, message: Message) {
-        // A stopped actor takes nothing more; the process is ending.
+        // A stopped actor accepts no message; the process is ending.
         let _ = self.actor.cast(message);
     }
 
+    /// Sends an event that asks for an endpoint and waits for the decision.
     async fn wait(
         &self,
         request: Request<Claimed>,
@@ -316,7 +319,7 @@
     }
 }
 
-/// Withdraws a request whose caller stops waiting.
+/// Withdraws a request when dropped before the core has decided.
 struct Waiting<'a> {
     sender: &'a Sender,
     request: id::Request,
@@ -333,7 +336,7 @@
         let event = match self.receiver.try_recv() {
             Ok(Ok(_)) => Message::Event(Event::Ended(self.request, Outcome::Cancelled)),
             Ok(Err(_)) => return,
-            Err(_) => Message::Left(self.request),
+            Err(_) => Message::Withdrawn(self.request),
         };
         self.sender.cast(event);
     }
