--- a/node/src/answer.rs
+++ b/node/src/answer.rs
@@ -1,4 +1,4 @@
-//! Filter: gives the endpoint's answer to the caller.
+//! Filter: returns the endpoint's response to the caller, streamed or buffered.
 
 use bytes::{Bytes, BytesMut};
 use dottereltally_lib::{id, size::Tokens};
@@ -12,52 +12,52 @@
 
 use crate::{
     body::Body,
-    dispatch::{CORRELATION, Running, lost, strip_hop},
+    dispatch::{CORRELATION, Running, failure, strip_hop},
     dispatcher::Handle,
     problem::{Problem, Reason},
-    server::REQUEST,
+    server::REQUEST_HEADER,
     sse,
     stream::Forward,
     upstream::Broken,
 };
 
-/// Header by which engines report their load.
-pub const LOAD: &str = "endpoint-load-metrics";
+/// Response header in which engines report their load.
+pub const LOAD_HEADER: &str = "endpoint-load-metrics";
 
 const EVENT_STREAM: &[u8] = b"text/event-stream";
 
-/// Returns whether the answer is a stream of server-sent events.
+/// Returns whether the response is a stream of server-sent events.
 #[must_use]
 pub fn is_event_stream(headers: &HeaderMap) -> bool {
     let kind = headers.get(CONTENT_TYPE);
     kind.is_some_and(|kind| kind.as_bytes().starts_with(EVENT_STREAM))
 }
 
-/// Passes the answer on as it comes.
+/// Streams the response to the caller as it arrives.
 #[must_use]
-pub fn pass_on<B, D>(running: Running<B, D>, request: id::Request) -> Response<Body>
+pub fn forward<B, D>(running: Running<B, D>, request: id::Request) -> Response<Body>
 where
     B: http_body::Body<Data = Bytes, Error = Broken> + Send + Unpin + 'static,
     D: Handle + Unpin,
 {
     let (mut parts, body) = running.response.into_parts();
     let is_stream = is_event_stream(&parts.headers);
-    clean(&mut parts, request);
+    rewrite_headers(&mut parts, request);
     if is_stream {
         parts.headers.remove(CONTENT_LENGTH);
     }
-    let mut flight = running.flight;
-    flight.judge(parts.status);
-    let forward = Forward::new(body, flight, running.first, is_stream, running.limits);
-    Response::from_parts(parts, Body::stream(forward))
+    let mut tracker = running.tracker;
+    tracker.record_status(parts.status);
+    let body = Forward::new(body, tracker, running.first, is_stream, running.limits);
+    Response::from_parts(parts, Body::stream(body))
 }
 
-/// Reads the whole answer before any of it is passed on.
+/// Buffers the whole response before any of it is sent to the caller.
 ///
 /// # Errors
 ///
-/// Fails if the answer does not come whole or is longer than `limit` bytes.
-pub async fn read_whole<B, D>(
+/// Fails if the response is incomplete or its body is longer than `limit` bytes.
+pub async fn buffer<B, D>(
     running: Running<B, D>,
     limit: usize,
     request: id::Request,
@@ -69,29 +69,29 @@
     let Running {
         response,
         mut first,
-        mut flight,
+        mut tracker,
         limits,
     } = running;
     let (mut parts, mut body) = response.into_parts();
-    flight.judge(parts.status);
+    tracker.record_status(parts.status);
     let mut content = BytesMut::new();
     loop {
         let frame = match first.take() {
             Some(frame) => frame,
-            None => match timeout_at(limits.next(Instant::now()), body.frame()).await {
+            None => match timeout_at(limits.next_timeout(Instant::now()), body.frame()).await {
                 Ok(Some(Ok(frame))) => frame,
                 Ok(None) => break,
                 Ok(Some(Err(_))) => {
-                    flight.broken();
-                    return Err(lost(Reason::Broken));
+                    tracker.broken();
+                    return Err(failure(Reason::Broken));
                 }
                 Err(_) => {
-                    let reason = limits.reason(Instant::now());
+                    let reason = limits.timeout_reason(Instant::now());
                     match reason {
-                        Reason::DeadlinePassed => flight.expired(),
-                        _ => flight.stalled(),
+                        Reason::DeadlinePassed => tracker.expired(),
+                        _ => tracker.stalled(),
                     }
-                    return Err(lost(reason));
+                    return Err(failure(reason));
                 }
             },
         };
@@ -99,31 +99,32 @@
             continue;
         };
         if content.len() + data.len() > limit {
-            return Err(lost(Reason::AnswerTooLarge));
+            return Err(failure(Reason::AnswerTooLarge));
         }
         content.extend_from_slice(&data);
     }
     let content = content.freeze();
-    if is_event_stream(&parts.headers) && !ends_whole(&content) {
-        flight.broken();
-        return Err(lost(Reason::Broken));
+    if is_event_stream(&parts.headers) && !is_complete_stream(&content) {
+        tracker.broken();
+        return Err(failure(Reason::Broken));
     }
     let usage = usage(&parts, &content);
-    flight.answered(Tokens(usage.cached), Tokens(usage.output));
-    clean(&mut parts, request);
+    tracker.completed(Tokens(usage.cached), Tokens(usage.output));
+    rewrite_headers(&mut parts, request);
     parts
         .headers
         .insert(CONTENT_LENGTH, HeaderValue::from(content.len()));
     Ok(Response::from_parts(parts, content))
 }
 
-fn ends_whole(content: &[u8]) -> bool {
+/// Returns whether an event stream contains its final `[DONE]` event.
+fn is_complete_stream(content: &[u8]) -> bool {
     let mut scanner = sse::Scanner::default();
     scanner.feed(content);
     scanner.is_done()
 }
 
-/// Returns the usage that the answer tells, zero if it tells none.
+/// Returns the token usage that the response reports, zero if it reports none.
 fn usage(parts: &Parts, content: &[u8]) -> sse::Usage {
     if !is_event_stream(&parts.headers) {
         return sse::Usage::parse(content).unwrap_or_default();
@@ -133,10 +134,13 @@
     scanner.usage().unwrap_or_default()
 }
 
-fn clean(parts: &mut Parts, request: id::Request) {
+/// Removes headers that must not reach the caller and adds the request header.
+fn rewrite_headers(parts: &mut Parts, request: id::Request) {
     strip_hop(&mut parts.headers);
-    for name in [CORRELATION, LOAD, REQUEST] {
+    for name in [CORRELATION, LOAD_HEADER, REQUEST_HEADER] {
         parts.headers.remove(name);
     }
-    parts.headers.insert(REQUEST, HeaderValue::from(request.0));
+    parts
+        .headers
+        .insert(REQUEST_HEADER, HeaderValue::from(request.0));
 }
--- a/node/src/classify.rs
+++ b/node/src/classify.rs
@@ -1,4 +1,4 @@
-//! Filter: finds the call that a request matches and builds its profile.
+//! Filter: matches a request to a configured call and builds its profile.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,37 +13,37 @@
     rules::Rules,
 };
 
-/// Header that asks for a lower tier.
-pub const TIER: &str = "dottereltally-tier";
-/// Header that shortens the deadline.
-pub const DEADLINE: &str = "dottereltally-deadline";
+/// Request header that asks for a lower tier.
+pub const TIER_HEADER: &str = "dottereltally-tier";
+/// Request header that shortens the deadline.
+pub const DEADLINE_HEADER: &str = "dottereltally-deadline";
 
-/// Bytes of a prompt that count as one token.
+/// Prompt bytes that are estimated to make up one token.
 const BYTES_PER_TOKEN: u64 = 4;
-/// Time that an engine may take for a token of an answer in one piece.
-const TOKEN_TIME: Duration = Duration::from_millis(100);
-/// Most tokens that a request may ask for.
+/// Time that an engine may take per token of a response that is not streamed.
+const TIME_PER_TOKEN: Duration = Duration::from_millis(100);
+/// Upper limit of `max_tokens` in a request.
 const MAX_OUTPUT_TOKENS: u64 = 1 << 20;
-/// Tokens of an answer whose request names no limit.
+/// Output tokens assumed for a request without `max_tokens`.
 const DEFAULT_OUTPUT_TOKENS: u64 = 512;
 
-/// Calls that a request's method and path match, whatever model it names.
+/// Calls that match a request's method and path, regardless of its model.
 #[derive(Debug)]
 pub struct Candidates<'a> {
     calls: Vec<&'a text::Call>,
 }
 
-/// A classified request.
+/// The classification of a request.
 #[derive(Debug)]
 pub struct Class {
-    /// What the decision core needs to know.
+    /// Properties of the request that the decision core uses.
     pub profile: Arc<Profile>,
-    /// What stands behind the service.
+    /// Kind of the service that serves the call.
     pub kind: text::Kind,
-    /// Whether a non-idempotent call is served without a key.
+    /// Whether a non-idempotent call is accepted without an idempotency key.
     pub unkeyed: bool,
-    /// Time that the answer may take before its first byte, because it comes
-    /// in one piece.
+    /// Extra time to wait for the first byte of a response that is not
+    /// streamed, as the engine sends nothing until it is complete.
     pub allowance: Duration,
 }
 
@@ -51,8 +51,8 @@
 ///
 /// # Errors
 ///
-/// Fails with 404 if no call has the path, with 405 if none has the method,
-/// with 400 if the path could be taken for another one.
+/// Fails with 404 if no call has the path, with 405 if no call with the path
+/// has the method, and with 400 if the path has a dot segment.
 pub fn candidates<'a>(
     rules: &'a Rules,
     method: &Method,
@@ -60,7 +60,7 @@
 ) -> Result<Candidates<'a>, Problem> {
     if has_dot_segment(uri.path()) {
         return Err(malformed(
-            "the path has a `.` or `..` segment; send it without".to_owned(),
+            "the path has a `.` or `..` segment; send the normalized path".to_owned(),
         ));
     }
     let mut calls = Vec::new();
@@ -81,24 +81,25 @@
         StatusCode::NOT_FOUND
     };
     let detail = format!(
-        "no call of the operators' text matches {method} {}; check the method and path",
+        "no configured call matches {method} {}; check the method and path",
         uri.path()
     );
     Err(Problem::unread(status, Reason::NoCall, detail))
 }
 
 impl Candidates<'_> {
-    /// Returns whether every call that the request can still match is idempotent.
+    /// Returns whether all candidates are idempotent.
     #[must_use]
     pub fn all_idempotent(&self) -> bool {
         self.calls.iter().all(|call| call.idempotent)
     }
 
-    /// Chooses the call and builds the profile.
+    /// Selects the call by the model in the body and builds the profile.
     ///
     /// # Errors
     ///
-    /// Fails with 400 or 404 and what to change in the request.
+    /// Fails with 400 if the body or a header is invalid, with 404 if no call
+    /// serves the model.
     pub fn classify(
         &self,
         rules: &Rules,
@@ -107,7 +108,7 @@
         body: &Bytes,
         received: time::Instant,
     ) -> Result<Class, Problem> {
-        let prompt = self.prompt(rules, body)?;
+        let prompt = self.parse_prompt(rules, body)?;
         let model = prompt.as_ref().and_then(|prompt| prompt.model.as_deref());
         let model_id = model.map(id::Model::from);
         let (name, call) = rules
@@ -119,7 +120,7 @@
         let tier = tier(&rules.text, call.tier, &parts.headers)?;
         let deadline = deadline(call.deadline, &parts.headers)?;
         let (tokens, output, prefixes) = match (service.kind, &prompt) {
-            (text::Kind::Model, Some(prompt)) => measure(prompt),
+            (text::Kind::Model, Some(prompt)) => estimate(prompt),
             _ => (Tokens(1), Tokens(0), Vec::new()),
         };
         let streamed = prompt.as_ref().is_some_and(|prompt| prompt.stream);
@@ -146,17 +147,18 @@
         })
     }
 
-    /// Reads the prompt if any candidate is served by model engines.
-    fn prompt(&self, rules: &Rules, body: &Bytes) -> Result<Option<Prompt>, Problem> {
+    /// Parses the body as a prompt if any candidate names a model or is served
+    /// by model engines.
+    fn parse_prompt(&self, rules: &Rules, body: &Bytes) -> Result<Option<Prompt>, Problem> {
         let is_model = |call: &text::Call| {
             let service = rules.text.services.get(&call.service);
             service.is_some_and(|service| service.kind == text::Kind::Model)
         };
-        let wanted = self
+        let needs_prompt = self
             .calls
             .iter()
             .any(|call| call.model.is_some() || is_model(call));
-        if !wanted {
+        if !needs_prompt {
             return Ok(None);
         }
         match Prompt::parse(body) {
@@ -165,14 +167,17 @@
             ))),
             Ok(prompt) => Ok(Some(prompt)),
             Err(error) => Err(malformed(format!(
-                "the body is no OpenAI-style JSON: {error}; correct it"
+                "the body is not a valid OpenAI-style JSON request: {error}; correct it"
             ))),
         }
     }
 }
 
-/// Returns whether a plain service could take the path for another one than
-/// the call that it matches.
+/// Returns whether the path has a `.` or `..` segment, plain or
+/// percent-encoded.
+///
+/// A plain service could normalize such a path to one that belongs to another
+/// call than the one that matched.
 fn has_dot_segment(path: &str) -> bool {
     let decoded = path
         .to_ascii_lowercase()
@@ -203,9 +208,9 @@
 fn unknown_model(model: Option<&str>) -> Problem {
     let detail = match model {
         Some(model) => {
-            format!("no call serves the model `{model}`; name a model of the operators' text")
+            format!("no configured call serves the model `{model}`; name a configured model")
         }
-        None => "the request names no model; set `model` in the body".to_owned(),
+        None => "the request does not name a model; set `model` in the body".to_owned(),
     };
     Problem::unread(StatusCode::NOT_FOUND, Reason::NoCall, detail)
 }
@@ -214,46 +219,50 @@
     Problem::unread(StatusCode::BAD_REQUEST, Reason::Malformed, detail)
 }
 
-/// Returns the tier of the call or the lower one that the caller asks for.
-fn tier(text: &text::Text, own: id::Tier, headers: &HeaderMap) -> Result<id::Tier, Problem> {
-    let Some(value) = headers.get(TIER) else {
-        return Ok(own);
+/// Returns the configured tier of the call, or the lower tier that the caller
+/// requests.
+fn tier(text: &text::Text, configured: id::Tier, headers: &HeaderMap) -> Result<id::Tier, Problem> {
+    let Some(value) = headers.get(TIER_HEADER) else {
+        return Ok(configured);
     };
-    let asked = value.to_str().ok().and_then(|name| text.tier(name));
-    match asked {
-        Some(asked) if asked >= own => Ok(asked),
+    let requested = value.to_str().ok().and_then(|name| text.tier(name));
+    match requested {
+        Some(requested) if requested >= configured => Ok(requested),
         Some(_) => Err(malformed(format!(
-            "`{TIER}` asks for a higher tier than the call has; ask for a lower one or leave it out"
+            "`{TIER_HEADER}` asks for a higher tier than the call has; ask for a lower one or leave it out"
         ))),
         None => Err(malformed(format!(
-            "`{TIER}` names no tier; use one of: {}",
+            "`{TIER_HEADER}` does not name a tier; use one of: {}",
             text.tiers.join(", ")
         ))),
     }
 }
 
-/// Returns the deadline of the call or the shorter one that the caller asks for.
-fn deadline(own: Duration, headers: &HeaderMap) -> Result<Duration, Problem> {
-    let Some(value) = headers.get(DEADLINE) else {
-        return Ok(own);
+/// Returns the configured deadline of the call, or the shorter one that the
+/// caller requests.
+fn deadline(configured: Duration, headers: &HeaderMap) -> Result<Duration, Problem> {
+    let Some(value) = headers.get(DEADLINE_HEADER) else {
+        return Ok(configured);
     };
     let parsed = value
         .to_str()
         .ok()
         .and_then(|value| humantime::parse_duration(value).ok());
     match parsed {
-        Some(asked) if !asked.is_zero() && asked <= own => Ok(asked),
+        Some(requested) if !requested.is_zero() && requested <= configured => Ok(requested),
         Some(_) => Err(malformed(format!(
-            "`{DEADLINE}` must be above zero and at most {}; shorten it or leave it out",
-            humantime::format_duration(own)
+            "`{DEADLINE_HEADER}` must be above zero and at most {}; shorten it or leave it out",
+            humantime::format_duration(configured)
         ))),
         None => Err(malformed(format!(
-            "`{DEADLINE}` is no duration; write it such as `5s`"
+            "`{DEADLINE_HEADER}` is not a valid duration; write it in a form such as `5s`"
         ))),
     }
 }
 
-fn measure(prompt: &Prompt) -> (Tokens, Tokens, Vec<id::Prefix>) {
+/// Estimates the prompt and output tokens and hashes the leading blocks of the
+/// prompt.
+fn estimate(prompt: &Prompt) -> (Tokens, Tokens, Vec<id::Prefix>) {
     let bytes = prompt.text.len() as u64;
     let tokens = bytes.div_ceil(BYTES_PER_TOKEN).max(1);
     let output = prompt.max_tokens.unwrap_or(DEFAULT_OUTPUT_TOKENS);
@@ -262,14 +271,16 @@
     (Tokens(tokens), Tokens(output), prefixes)
 }
 
-/// Returns the time that an answer may take before its first byte.
+/// Returns the extra time to wait for the first byte of a response, zero if it
+/// is streamed.
 fn allowance(streamed: bool, output: Tokens) -> Duration {
     if streamed {
         return Duration::ZERO;
     }
-    TOKEN_TIME.saturating_mul(u32::try_from(output.0).unwrap_or(u32::MAX))
+    TIME_PER_TOKEN.saturating_mul(u32::try_from(output.0).unwrap_or(u32::MAX))
 }
 
+/// Hashes the workspace, the call, the target and the body of a request.
 fn fingerprint(
     workspace: &id::Workspace,
     call: &id::Call,
--- a/node/src/dispatch.rs
+++ b/node/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Filter: hands an admitted request to its endpoint, at most once.
+//! Filter: sends an admitted request to its endpoint, at most once.
 
 use std::{sync::Arc, time::Duration};
 
@@ -23,18 +23,18 @@
     claim, classify,
     dispatcher::{Handle, Refused},
     filter::Chain,
-    flight::Flight,
     limit::Permit,
     problem::{Problem, Reason},
     stream::Limits,
+    tracker::Tracker,
     upstream::{Client, Failure, Message, Reuse},
 };
 
-/// Header that ties an answer to its request.
+/// Header that correlates a response with its request.
 pub const CORRELATION: &str = "x-request-id";
 
-/// Headers that end at this hop.
-const HOP: [HeaderName; 8] = [
+/// Hop-by-hop headers (RFC 9110), which are not forwarded.
+const HOP_BY_HOP: [HeaderName; 8] = [
     CONNECTION,
     HeaderName::from_static("keep-alive"),
     PROXY_AUTHENTICATE,
@@ -45,91 +45,93 @@
     UPGRADE,
 ];
 
-/// Headers of a request that endpoints don't get from the caller.
-const OWN: [HeaderName; 8] = [
+/// Request headers of the caller that are not forwarded to the endpoint; some of
+/// them are set anew.
+const NOT_FORWARDED: [HeaderName; 8] = [
     AUTHORIZATION,
     ACCEPT_ENCODING,
     CONTENT_LENGTH,
     EXPECT,
     HOST,
     HeaderName::from_static(CORRELATION),
-    HeaderName::from_static(classify::TIER),
-    HeaderName::from_static(classify::DEADLINE),
+    HeaderName::from_static(classify::TIER_HEADER),
+    HeaderName::from_static(classify::DEADLINE_HEADER),
 ];
 
-/// An answer that has begun.
+/// A dispatched request whose response has begun.
 pub struct Running<B, D: Handle> {
-    /// The answer's head and the rest of its body.
+    /// The head of the response and the rest of its body.
     pub response: Response<B>,
-    /// The first frame of its body; none if it has no body.
+    /// The first frame of the body; none if the body is empty.
     pub first: Option<Frame<Bytes>>,
-    /// The request's course.
-    pub flight: Flight<D>,
-    /// Limits of the answer.
+    /// Reports the progress and the end of the request.
+    pub tracker: Tracker<D>,
+    /// Time limits of the response.
     pub limits: Limits,
 }
 
-/// What stays the same over the attempts to hand a request over.
+/// Properties of a request that all its dispatch attempts share.
 #[derive(Debug)]
-pub struct Job {
-    /// The request's place in this node.
+pub struct Context {
+    /// Counts the request against the limit of its workspace.
     pub permit: Arc<Permit>,
-    /// Time that the endpoint may be silent beyond the inactivity limit,
-    /// because it sends nothing before its whole answer is computed.
+    /// Time by which the inactivity limit is extended, for endpoints that send
+    /// nothing until the whole response is computed.
     pub allowance: Duration,
 }
 
-/// The right to run a call, which every hand-over spends.
-pub trait Right: Send {
-    /// The right after it was spent.
-    type Spent: Send;
+/// Permission to send a call to an endpoint; each attempt consumes it.
+pub trait Claim: Send {
+    /// The claim after it was consumed.
+    type Consumed: Send;
 
-    /// Spends the right; none if it may have lapsed.
-    fn spend(self) -> Option<Self::Spent>;
+    /// Consumes the claim; returns none if it may have expired.
+    fn consume(self) -> Option<Self::Consumed>;
 
-    /// Restores the right, because nothing was handed over.
-    fn restore(spent: Self::Spent, unsent: &Message) -> Self;
+    /// Restores the claim after an attempt that sent nothing, which the
+    /// returned message proves.
+    fn restore(consumed: Self::Consumed, unsent: &Message) -> Self;
 }
 
-/// The right to run a call that needs no claim.
+/// Stands for the claim of a call that needs none.
 #[derive(Clone, Copy, Debug)]
-pub struct Free;
+pub struct Unclaimed;
 
-impl Right for Free {
-    type Spent = Self;
+impl Claim for Unclaimed {
+    type Consumed = Self;
 
-    fn spend(self) -> Option<Self> {
+    fn consume(self) -> Option<Self> {
         Some(self)
     }
 
-    fn restore(spent: Self, _unsent: &Message) -> Self {
-        spent
+    fn restore(consumed: Self, _unsent: &Message) -> Self {
+        consumed
     }
 }
 
-impl Right for claim::Held {
-    type Spent = claim::Dispatched;
+impl Claim for claim::Held {
+    type Consumed = claim::Dispatched;
 
-    fn spend(self) -> Option<claim::Dispatched> {
+    fn consume(self) -> Option<claim::Dispatched> {
         self.dispatch().ok()
     }
 
-    fn restore(spent: claim::Dispatched, unsent: &Message) -> Self {
-        spent.undo(unsent)
+    fn restore(consumed: claim::Dispatched, unsent: &Message) -> Self {
+        consumed.undo(unsent)
     }
 }
 
-/// Why there is no answer.
-pub enum Ended<R> {
-    /// The core refused; nothing was handed over.
-    Refused(Refused, R),
-    /// The right may have lapsed; nothing was handed over.
-    Lapsed,
-    /// An endpoint may have run the request.
-    Lost(Problem),
+/// Why a request got no response.
+pub enum Error<C> {
+    /// The core refused the request; nothing was sent.
+    Refused(Refused, C),
+    /// The claim may have expired; nothing was sent.
+    ClaimExpired,
+    /// The attempt failed; an endpoint may have run the request.
+    Failed(Problem),
 }
 
-/// Removes the headers that end at this hop.
+/// Removes the hop-by-hop headers, those named by `connection` included.
 pub fn strip_hop(headers: &mut HeaderMap) {
     let mut named = Vec::new();
     for value in headers.get_all(CONNECTION) {
@@ -139,16 +141,16 @@
             }
         }
     }
-    for name in named.iter().chain(&HOP) {
+    for name in named.iter().chain(&HOP_BY_HOP) {
         headers.remove(name);
     }
 }
 
-/// Builds the message for an endpoint from a caller's request.
+/// Builds the request to the endpoint from the caller's request.
 #[must_use]
 pub fn message(mut parts: Parts, body: Bytes, correlation: HeaderValue) -> Message {
     strip_hop(&mut parts.headers);
-    for name in &OWN {
+    for name in &NOT_FORWARDED {
         parts.headers.remove(name);
     }
     parts.headers.insert(CORRELATION, correlation);
@@ -159,59 +161,61 @@
     Message::from_parts(parts, Full::new(body))
 }
 
-/// Waits for an endpoint and hands the request to it.
+/// Waits for an endpoint and sends the request to it; repeats this while an
+/// attempt has sent nothing.
 ///
 /// # Errors
 ///
-/// Fails if the core refuses, the right has lapsed or the endpoint gives no
-/// answer.
-pub async fn run<D: Handle, U: Client, K, R: Right>(
+/// Fails if the core refuses the request, the claim may have expired or the
+/// attempt fails before the response begins.
+pub async fn run<D: Handle, U: Client, K, C: Claim>(
     chain: &Chain<D, U, K>,
     request: Request<Claimed>,
-    mut right: R,
+    mut claim: C,
     mut message: Message,
-    job: &Job,
-) -> Result<(Running<U::Body, D>, R::Spent), Ended<R>> {
+    context: &Context,
+) -> Result<(Running<U::Body, D>, C::Consumed), Error<C>> {
     let mut admission = chain.dispatcher.admit(request).await;
     loop {
         let admitted = match admission {
             Ok(admitted) => admitted,
-            Err(refused) => return Err(Ended::Refused(refused, right)),
+            Err(refused) => return Err(Error::Refused(refused, claim)),
         };
-        let unsent = match attempt(chain, admitted, right, message, job).await? {
-            Attempt::Running(running, spent) => return Ok((running, spent)),
+        let unsent = match attempt(chain, admitted, claim, message, context).await? {
+            Attempt::Running(running, consumed) => return Ok((running, consumed)),
             Attempt::Unsent(unsent) => unsent,
         };
-        right = unsent.right;
+        claim = unsent.claim;
         message = unsent.message;
         admission = chain.dispatcher.readmit(unsent.request).await;
     }
 }
 
-enum Attempt<B, D: Handle, R: Right> {
-    Running(Running<B, D>, R::Spent),
-    Unsent(Unsent<R>),
+/// Result of one attempt that did not fail.
+enum Attempt<B, D: Handle, C: Claim> {
+    Running(Running<B, D>, C::Consumed),
+    Unsent(Unsent<C>),
 }
 
-/// A request of which nothing was handed over.
-struct Unsent<R> {
+/// A request of which nothing was sent, to be admitted again.
+struct Unsent<C> {
     request: Request<Claimed>,
-    right: R,
+    claim: C,
     message: Message,
 }
 
-/// Makes the one attempt that the admission allows.
-async fn attempt<D: Handle, U: Client, K, R: Right>(
+/// Makes the one attempt to send the request that its admission allows.
+async fn attempt<D: Handle, U: Client, K, C: Claim>(
     chain: &Chain<D, U, K>,
     admitted: Request<Admitted>,
-    right: R,
+    claim: C,
     mut message: Message,
-    job: &Job,
-) -> Result<Attempt<U::Body, D, R>, Ended<R>> {
+    context: &Context,
+) -> Result<Attempt<U::Body, D, C>, Error<C>> {
     let Some(address) = (chain.resolve)(admitted.endpoint()) else {
         return Ok(Attempt::Unsent(Unsent {
             request: admitted.requeue(),
-            right,
+            claim,
             message,
         }));
     };
@@ -224,98 +228,102 @@
     } else {
         Reuse::Never
     };
-    let Some(spent) = right.spend() else {
+    let Some(consumed) = claim.consume() else {
         chain
             .dispatcher
             .tell(Event::Ended(admitted.id(), Outcome::Cancelled));
-        return Err(Ended::Lapsed);
+        return Err(Error::ClaimExpired);
     };
     let dispatched = admitted.dispatch();
-    let mut flight = Flight::new(
+    let mut tracker = Tracker::new(
         &dispatched,
         chain.dispatcher.clone(),
         chain.metrics.clone(),
         chain.clock,
-        Arc::clone(&job.permit),
+        Arc::clone(&context.permit),
     );
     let limits = Limits {
-        inactivity: chain.limits.inactivity + job.allowance,
-        deadline: Instant::now() + flight.remaining(),
+        inactivity: chain.limits.inactivity + context.allowance,
+        deadline: Instant::now() + tracker.remaining(),
     };
     let sending = chain.upstream.send(&address, message, reuse);
-    let response = match timeout_at(limits.next(Instant::now()), sending).await {
+    let response = match timeout_at(limits.next_timeout(Instant::now()), sending).await {
         Ok(Ok(response)) => response,
         Ok(Err(Failure::Unsent { message, .. })) => {
-            flight.unsent();
+            tracker.unsent();
             return Ok(Attempt::Unsent(Unsent {
                 request: dispatched.undo(&*message),
-                right: R::restore(spent, &message),
+                claim: C::restore(consumed, &message),
                 message: *message,
             }));
         }
-        Ok(Err(Failure::Broken(_))) => return Err(broken(flight)),
-        Err(_) => return Err(silent(flight, &limits)),
+        Ok(Err(Failure::Broken(_))) => return Err(broken(tracker)),
+        Err(_) => return Err(timed_out(tracker, &limits)),
     };
     let echo = response.headers().get(CORRELATION);
     if echo.is_some() && echo != correlation.as_ref() {
-        return Err(crossed(flight));
+        return Err(mismatched(tracker));
     }
     let (parts, mut body) = response.into_parts();
-    let first = match timeout_at(limits.next(Instant::now()), body.frame()).await {
+    let first = match timeout_at(limits.next_timeout(Instant::now()), body.frame()).await {
         Ok(Some(Ok(frame))) => Some(frame),
-        Ok(Some(Err(_))) => return Err(broken(flight)),
+        Ok(Some(Err(_))) => return Err(broken(tracker)),
         Ok(None) => None,
-        Err(_) => return Err(silent(flight, &limits)),
+        Err(_) => return Err(timed_out(tracker, &limits)),
     };
-    flight.start();
+    tracker.start();
     let running = Running {
         response: Response::from_parts(parts, body),
         first,
-        flight,
+        tracker,
         limits,
     };
-    Ok(Attempt::Running(running, spent))
+    Ok(Attempt::Running(running, consumed))
 }
 
-fn broken<D: Handle, R>(flight: Flight<D>) -> Ended<R> {
-    flight.broken();
-    Ended::Lost(lost(Reason::Broken))
+/// Ends a request whose connection broke.
+fn broken<D: Handle, C>(tracker: Tracker<D>) -> Error<C> {
+    tracker.broken();
+    Error::Failed(failure(Reason::Broken))
 }
 
-fn silent<D: Handle, R>(flight: Flight<D>, limits: &Limits) -> Ended<R> {
-    let reason = limits.reason(Instant::now());
+/// Ends a request that reached its deadline or the inactivity limit.
+fn timed_out<D: Handle, C>(tracker: Tracker<D>, limits: &Limits) -> Error<C> {
+    let reason = limits.timeout_reason(Instant::now());
     match reason {
-        Reason::DeadlinePassed => flight.expired(),
-        _ => flight.stalled(),
+        Reason::DeadlinePassed => tracker.expired(),
+        _ => tracker.stalled(),
     }
-    Ended::Lost(lost(reason))
+    Error::Failed(failure(reason))
 }
 
-/// Discards the answer to another request.
-fn crossed<D: Handle, R>(flight: Flight<D>) -> Ended<R> {
-    flight.crossed();
-    Ended::Lost(lost(Reason::Crossed))
+/// Ends a request whose response carries the correlation header of another
+/// request.
+fn mismatched<D: Handle, C>(tracker: Tracker<D>) -> Error<C> {
+    tracker.mismatched();
+    Error::Failed(failure(Reason::Crossed))
 }
 
-/// Returns the failure of a request that an endpoint may have run.
+/// Returns the problem for a request that failed after its dispatch; an endpoint
+/// may have run it.
 #[must_use]
-pub fn lost(reason: Reason) -> Problem {
+pub fn failure(reason: Reason) -> Problem {
     let (status, detail) = match reason {
         Reason::DeadlinePassed => (
             StatusCode::GATEWAY_TIMEOUT,
-            "the deadline passed before the answer came; allow more time",
+            "the deadline passed before the response was complete; allow more time",
         ),
         Reason::Stalled => (
             StatusCode::GATEWAY_TIMEOUT,
-            "the endpoint fell silent; send the request again if it is idempotent",
+            "the endpoint stopped responding; send the request again if it is idempotent",
         ),
         Reason::Crossed => (
             StatusCode::BAD_GATEWAY,
-            "the endpoint answered another request; send this one again if it is idempotent",
+            "the endpoint responded to another request; send this request again if it is idempotent",
         ),
         Reason::AnswerTooLarge => (
             StatusCode::BAD_GATEWAY,
-            "the answer is over the limit that can be kept; ask for less or raise `limits.body`",
+            "the response is larger than `limits.body`; request less or raise the limit",
         ),
         _ => (
             StatusCode::BAD_GATEWAY,
--- a/node/src/filter.rs
+++ b/node/src/filter.rs
@@ -1,6 +1,7 @@
 //! The chain of filters that serves one request.
 //!
-//! Authenticate, classify, limit, claim, admit, dispatch, answer.
+//! The filters, in order: authenticate, classify, limit, claim, admit, dispatch,
+//! answer.
 
 use std::{
     sync::{
@@ -25,9 +26,9 @@
     body::Body,
     classify::{self, Class},
     clock::Clock,
-    dispatch::{self, Ended, Free, Job},
+    dispatch::{self, Context, Error, Unclaimed},
     dispatcher::{Handle, Resolve},
-    exclusive::{self, Keeper},
+    idempotency::{self, Keeper},
     limit::{Permit, Table},
     metrics::Metrics,
     problem::{Problem, Reason},
@@ -37,30 +38,30 @@
 };
 
 /// Multiple of the limit up to which a body is read and discarded, so that a
-/// caller that still sends it gets the refusal in place of a reset.
+/// caller that is still sending gets the refusal instead of a connection reset.
 const DISCARD_FACTOR: usize = 4;
-/// When to come back to a node without a configuration.
+/// `retry-after` of a node without a configuration.
 const CONFIGURATION_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What the filters work with.
+/// Parts of the node that the filters use.
 pub struct Chain<D, U, K> {
     /// The node's name.
     pub node: id::Node,
-    /// Limits towards callers.
+    /// Limits on callers and their requests.
     pub limits: Limits,
     /// The clock of the node.
     pub clock: Clock,
     /// The rules in force.
     pub rules: rules::Receiver,
-    /// Places of the workspaces.
+    /// Counts the requests of each workspace.
     pub places: Table,
-    /// The decision core.
+    /// Handle of the decision core.
     pub dispatcher: D,
-    /// Addresses of the endpoints.
+    /// Looks up the addresses of endpoints.
     pub resolve: Resolve,
     /// Connections to the endpoints.
     pub upstream: U,
-    /// The claims.
+    /// Acquires the claims of idempotency keys.
     pub keeper: K,
     /// The counters.
     pub metrics: Metrics,
@@ -68,7 +69,7 @@
     pub next: AtomicU64,
 }
 
-/// A refusal, with the tier as far as it is known.
+/// A refusal, with the tier of the request if it is known.
 struct Refused {
     tier: Option<id::Tier>,
     problem: Problem,
@@ -83,7 +84,7 @@
     }
 }
 
-/// A request that passed the filters before the claim.
+/// A request that has passed the filters before the claim.
 struct Accepted {
     request: Request<Received>,
     class: Class,
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Reads a request and passes it through the filters before the claim.
+    /// Reads a request and runs the filters that come before the claim.
     async fn accept<B>(
         &self,
         id: id::Request,
@@ -131,40 +132,40 @@
     {
         let received = self.clock.now();
         let (parts, body) = request.into_parts();
-        // Nothing is known yet of earlier attempts with the same key.
-        let unproved = |problem: Problem| {
-            if parts.headers.contains_key(exclusive::KEY) {
-                problem.unproved()
+        // An earlier attempt with the same key may have run.
+        let run_unknown = |problem: Problem| {
+            if parts.headers.contains_key(idempotency::KEY_HEADER) {
+                problem.run_unknown()
             } else {
                 problem
             }
         };
-        check_head(&parts, self.limits.head).map_err(unproved)?;
-        let rules = self.rules().map_err(unproved)?;
-        let workspace = authenticate::workspace(&rules, &parts.headers).map_err(unproved)?;
+        check_head(&parts, self.limits.head).map_err(run_unknown)?;
+        let rules = self.rules().map_err(run_unknown)?;
+        let workspace = authenticate::workspace(&rules, &parts.headers).map_err(run_unknown)?;
         let candidates =
-            classify::candidates(&rules, &parts.method, &parts.uri).map_err(unproved)?;
-        let unproved = |problem: Problem| {
+            classify::candidates(&rules, &parts.method, &parts.uri).map_err(run_unknown)?;
+        let run_unknown = |problem: Problem| {
             if candidates.all_idempotent() {
                 problem
             } else {
-                unproved(problem)
+                run_unknown(problem)
             }
         };
-        let body = self.read(body).await.map_err(unproved)?;
+        let body = self.read_body(body).await.map_err(run_unknown)?;
         let limit = rules.text.workspaces.get(&workspace);
         let limit = limit.and_then(|workspace| workspace.limit);
         let class = candidates
             .classify(&rules, workspace, &parts, &body, received)
-            .map_err(unproved)?;
+            .map_err(run_unknown)?;
         let profile = Arc::clone(&class.profile);
-        let permit = self.places.enter(&profile.workspace, limit);
+        let permit = self.places.acquire(&profile.workspace, limit);
         let permit = permit.map_err(|problem| Refused {
             tier: Some(profile.tier),
             problem: if profile.idempotent {
                 problem
             } else {
-                unproved(problem)
+                run_unknown(problem)
             },
         })?;
         Ok(Accepted {
@@ -176,7 +177,8 @@
         })
     }
 
-    /// Claims if need be, admits, dispatches and answers.
+    /// Claims the key if the call needs it, then admits and dispatches the request
+    /// and returns the response.
     async fn run(self: Arc<Self>, accepted: Accepted) -> Result<Response<Body>, Refused> {
         let Accepted {
             request,
@@ -186,23 +188,23 @@
             permit,
         } = accepted;
         let id = request.id();
-        let job = Job {
+        let context = Context {
             permit,
             allowance: class.allowance,
         };
         let tier = Some(class.profile.tier);
         let refuse = |problem| Refused { tier, problem };
-        let key = exclusive::key(&parts.headers).map_err(refuse)?;
-        let message = dispatch::message(parts, body, self.correlation(id));
+        let key = idempotency::key(&parts.headers).map_err(refuse)?;
+        let message = dispatch::message(parts, body, self.correlation_id(id));
         if class.profile.idempotent || (key.is_none() && class.unkeyed) {
             let claimed = request.claim();
-            let running = dispatch::run(&self, claimed, Free, message, &job).await;
-            let (running, _) = running.map_err(|ended| refuse(problem(ended)))?;
+            let running = dispatch::run(&self, claimed, Unclaimed, message, &context).await;
+            let (running, _) = running.map_err(|error| refuse(problem(error)))?;
             if class.kind == text::Kind::Plain || is_streamed(&running.response) {
-                return Ok(answer::pass_on(running, id));
+                return Ok(answer::forward(running, id));
             }
-            let whole = answer::read_whole(running, self.limits.body, id).await;
-            return whole
+            let buffered = answer::buffer(running, self.limits.body, id).await;
+            return buffered
                 .map(|response| response.map(Body::full))
                 .map_err(refuse);
         }
@@ -211,20 +213,21 @@
                 &request.abandon(),
                 StatusCode::BAD_REQUEST,
                 Reason::NoKey,
-                "the call is not idempotent; send it with an `idempotency-key` of its own",
+                "the call is not idempotent; send it with a unique `idempotency-key`",
             );
             return Err(refuse(problem));
         };
-        // The call goes on when its caller leaves, so that its answer is kept.
-        let running = tokio::spawn(exclusive::run(self, request, key, message, job));
+        // Spawned so that the call completes and its response is stored for replay
+        // even if the caller disconnects.
+        let running = tokio::spawn(idempotency::run(self, request, key, message, context));
         match running.await {
             Ok(outcome) => outcome.map_err(refuse),
-            Err(_) => Err(refuse(dispatch::lost(Reason::Broken))),
+            Err(_) => Err(refuse(dispatch::failure(Reason::Broken))),
         }
     }
 
-    /// Reads a body within its limits.
-    async fn read<B>(&self, mut body: B) -> Result<Bytes, Problem>
+    /// Reads a body within its limits of size and time.
+    async fn read_body<B>(&self, mut body: B) -> Result<Bytes, Problem>
     where
         B: http_body::Body<Data = Bytes> + Unpin,
     {
@@ -243,6 +246,7 @@
         }
     }
 
+    /// Returns the rules in force, or the refusal of a node without any.
     fn rules(&self) -> Result<Arc<Rules>, Problem> {
         self.rules.borrow().clone().ok_or_else(|| {
             Problem::unread(
@@ -254,17 +258,18 @@
         })
     }
 
-    fn correlation(&self, id: id::Request) -> HeaderValue {
+    /// Returns an identifier of the request that is unique among the nodes.
+    fn correlation_id(&self, id: id::Request) -> HeaderValue {
         let value = format!("{}-{id}", self.node);
         HeaderValue::try_from(value).unwrap_or_else(|_| HeaderValue::from(id.0))
     }
 }
 
-fn problem(ended: Ended<Free>) -> Problem {
-    match ended {
-        Ended::Refused(refused, _) => Problem::refused(&refused.proof, refused.refusal),
-        Ended::Lapsed => dispatch::lost(Reason::Claimed),
-        Ended::Lost(problem) => problem,
+fn problem(error: Error<Unclaimed>) -> Problem {
+    match error {
+        Error::Refused(refused, _) => Problem::refused(&refused.proof, refused.refusal),
+        Error::ClaimExpired => dispatch::failure(Reason::Claimed),
+        Error::Failed(problem) => problem,
     }
 }
 
@@ -272,11 +277,11 @@
     answer::is_event_stream(response.headers())
 }
 
-/// Reads a whole body.
+/// Reads a whole body of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// Fails if the body breaks off or is over the limit, bytes.
+/// Fails if the body is incomplete or larger than the limit.
 pub async fn collect<B>(body: &mut B, limit: usize) -> Result<Bytes, Problem>
 where
     B: http_body::Body<Data = Bytes> + Unpin,
@@ -288,7 +293,7 @@
             return Err(Problem::unread(
                 StatusCode::BAD_REQUEST,
                 Reason::Malformed,
-                "the body broke off; send the request again",
+                "the body is incomplete; send the request again",
             ));
         };
         let Ok(data) = frame.into_data() else {
@@ -312,15 +317,15 @@
     Problem::unread(
         StatusCode::PAYLOAD_TOO_LARGE,
         Reason::TooLarge,
-        format!("the body is over {limit} bytes; send a smaller one"),
+        format!("the body is larger than {limit} bytes; send a smaller one"),
     )
 }
 
-/// Checks the size of a request's head as HTTP/1.1 would write it.
+/// Checks that a request's head, written as HTTP/1.1, has at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// Fails if the head is over the limit, bytes.
+/// Fails if the head is larger than the limit.
 pub fn check_head(parts: &Parts, limit: usize) -> Result<(), Problem> {
     let target = parts
         .uri
@@ -333,7 +338,7 @@
     Err(Problem::unread(
         StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
         Reason::TooLarge,
-        format!("the head is over {limit} bytes; send fewer or shorter headers"),
+        format!("the head is larger than {limit} bytes; send fewer or shorter headers"),
     ))
 }
 
--- a/node/src/exclusive.rs
+++ b/node/src/idempotency.rs
@@ -1,4 +1,5 @@
-//! Filter: runs a non-idempotent call under the claim of its idempotency key.
+//! Filter: runs a non-idempotent call while holding the claim of its
+//! idempotency key.
 
 use std::{future::Future, sync::Arc, time::Duration};
 
@@ -15,30 +16,30 @@
     answer,
     body::Body,
     claim::{self, Held, Lost, Scope},
-    dispatch::{self, Ended, Job},
+    dispatch::{self, Context, Error},
     dispatcher::Handle,
     filter::Chain,
     peer::{self, Peers},
     problem::{Problem, Reason},
-    server::REQUEST,
+    server::REQUEST_HEADER,
     upstream::{Client, Message},
 };
 
-/// Header that recognises a call that is sent again.
-pub const KEY: &str = "idempotency-key";
-/// Longest idempotency key, bytes.
+/// Request header by which a repeated call is recognised.
+pub const KEY_HEADER: &str = "idempotency-key";
+/// Maximum length of an idempotency key, bytes.
 const MAX_KEY_BYTES: usize = 256;
-/// When to ask again for the answer of an attempt that runs.
+/// `retry-after` if another attempt may still be running.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Takes claims.
+/// Acquires claims.
 pub trait Keeper: Clone + Send + Sync + 'static {
-    /// Takes the claim of a call, or returns what became of the attempt that
-    /// holds it.
+    /// Acquires the claim of a call.
     ///
     /// # Errors
     ///
-    /// Fails if another attempt holds or held it or that is not known.
+    /// Fails with the state of the other attempt if one holds or held the
+    /// claim, or if that is unknown.
     fn acquire(
         &self,
         scope: Scope,
@@ -62,9 +63,9 @@
 ///
 /// # Errors
 ///
-/// Fails with 400 if it is unusable.
+/// Fails with 400 if it is invalid or given more than once.
 pub fn key(headers: &HeaderMap) -> Result<Option<String>, Problem> {
-    let mut values = headers.get_all(KEY).iter();
+    let mut values = headers.get_all(KEY_HEADER).iter();
     let Some(value) = values.next() else {
         return Ok(None);
     };
@@ -76,23 +77,24 @@
             StatusCode::BAD_REQUEST,
             Reason::Malformed,
             format!(
-                "`{KEY}` must be sent once, with 1 to {MAX_KEY_BYTES} visible ASCII characters; correct it"
+                "`{KEY_HEADER}` must be sent once, with 1 to {MAX_KEY_BYTES} visible ASCII characters; correct the header"
             ),
         )),
     }
 }
 
-/// Runs a call whose key must be claimed first.
+/// Claims the key of a call, runs the call and stores its response for replay.
 ///
 /// # Errors
 ///
-/// Fails if the claim is lost, the core refuses or the answer is lost.
+/// Fails if the claim is not acquired, the core refuses the request or the
+/// response is incomplete.
 pub async fn run<D: Handle, U: Client, K: Keeper>(
     chain: Arc<Chain<D, U, K>>,
     request: Request<Received>,
     key: String,
     message: Message,
-    job: Job,
+    context: Context,
 ) -> Result<Response<Body>, Problem> {
     let id = request.id();
     let profile = Arc::clone(request.profile());
@@ -106,36 +108,37 @@
     let held = match acquiring.await {
         Ok(held) => held,
         Err(Lost::Replay(response)) => return Ok(replay(response, id)),
-        Err(lost) => return Err(explain(&lost)),
+        Err(lost) => return Err(claim_problem(&lost)),
     };
-    let running = dispatch::run(&chain, request.claim(), held, message, &job).await;
-    let (running, spent) = match running {
+    let running = dispatch::run(&chain, request.claim(), held, message, &context).await;
+    let (running, dispatched) = match running {
         Ok(running) => running,
-        Err(Ended::Refused(refused, held)) => {
+        Err(Error::Refused(refused, held)) => {
             let problem = Problem::refused(&refused.proof, refused.refusal);
             return Err(match held.release().await {
                 Ok(()) => problem,
-                Err(_) => problem.unproved(),
+                Err(_) => problem.run_unknown(),
             });
         }
-        Err(Ended::Lapsed) => return Err(lapsed()),
-        Err(Ended::Lost(problem)) => return Err(problem),
+        Err(Error::ClaimExpired) => return Err(claim_expired()),
+        Err(Error::Failed(problem)) => return Err(problem),
     };
-    let response = answer::read_whole(running, chain.limits.body, id).await?;
-    spent.complete(keep(&response));
+    let response = answer::buffer(running, chain.limits.body, id).await?;
+    dispatched.complete(to_stored(&response));
     Ok(response.map(Body::full))
 }
 
-fn lapsed() -> Problem {
+fn claim_expired() -> Problem {
     Problem::may_have_run(
         StatusCode::CONFLICT,
         Reason::Claimed,
-        "the claim was held for too long to rely on it; send the call again with the same key",
+        "the claim was held for so long that it may have expired; send the call again with the same key",
     )
     .retry_after(RETRY_AFTER)
 }
 
-fn keep(response: &Response<Bytes>) -> peer::Response {
+/// Converts a response to the form that is stored for replay.
+fn to_stored(response: &Response<Bytes>) -> peer::Response {
     let content_type = response.headers().get(CONTENT_TYPE);
     let content_type = content_type.and_then(|value| value.to_str().ok());
     peer::Response {
@@ -145,12 +148,13 @@
     }
 }
 
-fn replay(kept: peer::Response, request: id::Request) -> Response<Body> {
-    let mut response = Response::new(Body::full(Bytes::from(kept.body)));
-    *response.status_mut() = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
+/// Builds the response to a repeated call from the stored one.
+fn replay(stored: peer::Response, request: id::Request) -> Response<Body> {
+    let mut response = Response::new(Body::full(Bytes::from(stored.body)));
+    *response.status_mut() = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::OK);
     let headers = response.headers_mut();
-    headers.insert(REQUEST, HeaderValue::from(request.0));
-    if let Ok(value) = HeaderValue::try_from(kept.content_type)
+    headers.insert(REQUEST_HEADER, HeaderValue::from(request.0));
+    if let Ok(value) = HeaderValue::try_from(stored.content_type)
         && !value.is_empty()
     {
         headers.insert(CONTENT_TYPE, value);
@@ -158,8 +162,8 @@
     response
 }
 
-/// Returns the refusal of a call whose claim was lost.
-fn explain(lost: &Lost) -> Problem {
+/// Returns the problem for a call whose claim was not acquired.
+fn claim_problem(lost: &Lost) -> Problem {
     let (status, reason, delay) = match lost {
         Lost::Mismatch => (StatusCode::UNPROCESSABLE_ENTITY, Reason::KeyMismatch, None),
         Lost::Away { retry_after } => (
--- a/node/src/limit.rs
+++ b/node/src/limit.rs
@@ -1,4 +1,4 @@
-//! Filter: bounds the requests that a workspace has in this node.
+//! Filter: limits the concurrent requests of a workspace at this node.
 
 use std::{
     collections::{HashMap, hash_map::Entry},
@@ -12,17 +12,17 @@
 
 use crate::problem::{Problem, Reason};
 
-/// When a workspace over its limit should come back.
+/// `retry-after` of a request beyond the limit of its workspace.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Requests that are in this node, by workspace.
+/// Counts the requests in this node by workspace; clones share the counts.
 #[derive(Clone, Debug)]
 pub struct Table {
     counts: Arc<Mutex<HashMap<id::Workspace, u32>>>,
     total: Arc<watch::Sender<usize>>,
 }
 
-/// The place of one request; dropping it gives the place back.
+/// Counts one request against the limit of its workspace until it is dropped.
 #[derive(Debug)]
 pub struct Permit {
     table: Table,
@@ -39,16 +39,20 @@
 }
 
 impl Table {
-    /// Takes a place for a request.
+    /// Counts a request until the returned permit is dropped.
     ///
     /// # Errors
     ///
     /// Fails with 429 if the workspace has reached its limit.
-    pub fn enter(&self, workspace: &id::Workspace, limit: Option<u32>) -> Result<Permit, Problem> {
+    pub fn acquire(
+        &self,
+        workspace: &id::Workspace,
+        limit: Option<u32>,
+    ) -> Result<Permit, Problem> {
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
         let count = counts.entry(workspace.clone()).or_default();
         if limit.is_some_and(|limit| *count >= limit) {
-            let detail = "the workspace has reached its limit of requests at a time; send the request again when others have ended";
+            let detail = "the workspace has reached its limit of concurrent requests; send the request again when others have ended";
             let problem = Problem::unread(
                 StatusCode::TOO_MANY_REQUESTS,
                 Reason::Core(dottereltally_lib::refusal::Reason::Limit),
@@ -71,7 +75,7 @@
         *self.total.borrow()
     }
 
-    /// Waits until no request is in this node.
+    /// Waits until this node has no requests.
     pub async fn idle(&self) {
         let mut total = self.total.subscribe();
         let _ = total.wait_for(|total| *total == 0).await;
--- a/node/src/metrics.rs
+++ b/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of the request path.
+//! Metrics of the request path.
 
 use std::time::Duration;
 
@@ -12,24 +12,24 @@
 
 use crate::problem::Reason;
 
-/// Upper bounds of the buckets of the time to the first token, seconds.
+/// Upper bounds of the histogram buckets for the time to the first token, seconds.
 const FIRST_TOKEN_BUCKETS_SECONDS: [f64; 12] = [
     0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.66, 1.0, 2.5, 5.0, 10.0, 30.0,
 ];
 
-/// What became of a dispatched request.
+/// How a dispatched request ended.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
-pub enum Result {
-    /// The whole answer was passed on before the deadline.
+pub enum Completion {
+    /// The whole response was sent on before the deadline.
     #[display("whole")]
     Whole,
-    /// The whole answer was passed on after the deadline.
+    /// The whole response was sent on after the deadline.
     #[display("late")]
     Late,
-    /// The endpoint answered that it did not run it.
+    /// The endpoint refused the request without running it.
     #[display("rejected")]
     Rejected,
-    /// The endpoint answered with an error of its own.
+    /// The endpoint responded with a server error.
     #[display("failed")]
     Failed,
     /// The caller left.
@@ -41,10 +41,10 @@
     /// The connection to the endpoint broke.
     #[display("broken")]
     Broken,
-    /// The endpoint fell silent.
+    /// The endpoint stopped responding.
     #[display("stalled")]
     Stalled,
-    /// The endpoint answered another request.
+    /// The endpoint sent the response to another request.
     #[display("crossed")]
     Crossed,
 }
@@ -66,7 +66,7 @@
     tier: u8,
 }
 
-/// The counters; clones share them.
+/// Metrics of the requests; clones share them.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     answers: Family<AnswerLabels, Counter>,
@@ -95,7 +95,7 @@
 }
 
 impl Metrics {
-    /// Registers the counters.
+    /// Registers the metrics.
     pub fn register(&self, registry: &mut Registry) {
         registry.register(
             "answers",
@@ -139,18 +139,18 @@
         self.refusals.get_or_create(&labels).inc();
     }
 
-    /// Counts a request that is handed to an endpoint.
+    /// Counts a request that is about to be sent to an endpoint.
     pub fn dispatched(&self) {
         self.in_flight.inc();
     }
 
-    /// Counts a request that was not handed over after all.
+    /// Counts a dispatched request of which nothing was sent.
     pub fn unsent(&self) {
         self.in_flight.dec();
         self.unsent.inc();
     }
 
-    /// Records the time to the first byte of an answer.
+    /// Records the time to the first byte of a response.
     pub fn started(&self, tier: id::Tier, delay: Duration) {
         self.first_token
             .get_or_create(&TierLabels { tier: tier.0 })
@@ -158,14 +158,17 @@
     }
 
     /// Counts the end of a dispatched request.
-    pub fn ended(&self, profile: &Profile, result: Result, cached: Tokens) {
+    pub fn ended(&self, profile: &Profile, result: Completion, cached: Tokens) {
         self.in_flight.dec();
         let labels = AnswerLabels {
             tier: profile.tier.0,
             result: result.to_string(),
         };
         self.answers.get_or_create(&labels).inc();
-        if matches!(result, Result::Whole | Result::Late | Result::Rejected) {
+        if matches!(
+            result,
+            Completion::Whole | Completion::Late | Completion::Rejected
+        ) {
             return;
         }
         let wasted = profile.prompt.saturating_sub(cached);
--- a/node/src/problem.rs
+++ b/node/src/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals as problem bodies of RFC 9457.
+//! Refusals and failures as problem details (RFC 9457).
 
 use std::time::Duration;
 
@@ -17,64 +17,64 @@
 
 use crate::body::Body;
 
-/// Content type of a problem body.
-pub const CONTENT: &str = "application/problem+json";
+/// Media type of problem details.
+pub const MEDIA_TYPE: &str = "application/problem+json";
 
-/// Why a request got no answer from an endpoint.
+/// Why a request got no complete response from an endpoint.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Reason {
     /// The decision core refused it.
     #[display("{_0}")]
     Core(refusal::Reason),
-    /// No known key.
+    /// The bearer key is missing or unknown.
     #[display("unauthenticated")]
     Unauthenticated,
     /// The request is malformed.
     #[display("malformed")]
     Malformed,
-    /// The head or the body is over its limit.
+    /// The head or the body of the request is larger than its limit.
     #[display("too-large")]
     TooLarge,
     /// The body did not arrive in time.
     #[display("slow-sender")]
     SlowSender,
-    /// No call of the operators' text matches.
+    /// No configured call matches.
     #[display("no-call")]
     NoCall,
-    /// A non-idempotent call without a key.
+    /// A non-idempotent call was sent without an idempotency key.
     #[display("no-key")]
     NoKey,
     /// No configuration is in force yet.
     #[display("no-configuration")]
     NoConfiguration,
-    /// Another attempt with the key runs, or its answer is lost.
+    /// Another attempt with the key is running, or its response is lost.
     #[display("claimed")]
     Claimed,
     /// The key was used for another request.
     #[display("key-mismatch")]
     KeyMismatch,
-    /// The key-value service can't be asked.
+    /// The key-value service is unavailable.
     #[display("platform")]
     Platform,
     /// The connection to the endpoint broke.
     #[display("broken")]
     Broken,
-    /// The endpoint fell silent.
+    /// The endpoint stopped responding.
     #[display("stalled")]
     Stalled,
-    /// The endpoint answered another request.
+    /// The endpoint sent the response to another request.
     #[display("crossed")]
     Crossed,
-    /// The answer is over its limit.
+    /// The response is larger than its limit.
     #[display("answer-too-large")]
     AnswerTooLarge,
-    /// The deadline passed while it ran.
+    /// The deadline passed after the request was dispatched.
     #[display("deadline-passed")]
     DeadlinePassed,
 }
 
 impl Reason {
-    /// Returns whether an endpoint was handed the request.
+    /// Returns whether the reason arises only after the request was dispatched.
     #[must_use]
     pub const fn is_after_dispatch(self) -> bool {
         matches!(
@@ -88,7 +88,7 @@
     }
 }
 
-/// A refusal or failure on its way to the caller.
+/// A refusal or failure to report to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     status: StatusCode,
@@ -98,6 +98,7 @@
     retry_after: Option<Duration>,
 }
 
+/// JSON form of a problem.
 #[derive(Serialize)]
 struct WireProblem<'a> {
     r#type: &'a str,
@@ -109,7 +110,8 @@
 }
 
 impl Problem {
-    /// Builds a refusal of a request that was not dispatched, given the proof.
+    /// Builds the refusal of a request, given the proof that it was not
+    /// dispatched.
     #[must_use]
     pub fn not_run(
         _proof: &NotRun,
@@ -120,7 +122,8 @@
         Self::new(status, reason, Run::NotRun, detail)
     }
 
-    /// Builds a refusal of input that did not become a request.
+    /// Builds a refusal before a [`Request`](dottereltally_lib::request::Request)
+    /// exists, so that no proof is needed.
     #[must_use]
     pub fn unread(status: StatusCode, reason: Reason, detail: impl Into<String>) -> Self {
         Self::new(status, reason, Run::NotRun, detail)
@@ -132,17 +135,17 @@
         Self::new(status, reason, Run::MayHaveRun, detail)
     }
 
-    /// Builds the answer to a refusal by the decision core.
+    /// Builds the problem for a refusal by the decision core.
     #[must_use]
     pub fn refused(proof: &NotRun, refusal: refusal::Refusal) -> Self {
         let (status, detail) = match refusal.reason {
             refusal::Reason::Overload => (
                 StatusCode::SERVICE_UNAVAILABLE,
-                "more urgent work fills the service; send the request again after the given time",
+                "the service is fully used by more urgent requests; send the request again after the given time",
             ),
             refusal::Reason::Deadline => (
                 StatusCode::SERVICE_UNAVAILABLE,
-                "the request can't be answered before its deadline; send it again after the given time or allow more time",
+                "the request can't be completed before its deadline; send it again after the given time or allow more time",
             ),
             refusal::Reason::NoEndpoint => (
                 StatusCode::SERVICE_UNAVAILABLE,
@@ -154,7 +157,7 @@
             ),
             refusal::Reason::Quarantine => (
                 StatusCode::UNPROCESSABLE_ENTITY,
-                "endpoints died while they ran this request; do not send it again unchanged",
+                "endpoints crashed while they ran this request; do not send it again unchanged",
             ),
             refusal::Reason::Shutdown => (
                 StatusCode::SERVICE_UNAVAILABLE,
@@ -175,16 +178,16 @@
         }
     }
 
-    /// Tells the caller when to come back.
+    /// Sets the delay after which the caller may send the request again.
     #[must_use]
     pub fn retry_after(mut self, delay: Duration) -> Self {
         self.retry_after = Some(delay);
         self
     }
 
-    /// Returns the same problem, weakened to say that the request may have run.
+    /// Changes the problem to say that the request may have run.
     #[must_use]
-    pub fn unproved(mut self) -> Self {
+    pub fn run_unknown(mut self) -> Self {
         self.run = Run::MayHaveRun;
         self
     }
@@ -201,7 +204,7 @@
         self.reason
     }
 
-    /// Returns what the caller may conclude.
+    /// Returns whether the request can have run.
     #[must_use]
     pub fn run(&self) -> Run {
         self.run
@@ -225,24 +228,25 @@
         serde_json::to_vec(&wire).expect("strings and numbers always encode")
     }
 
-    /// Returns the response, with the attempt's number if it got one.
+    /// Builds the response; its request header is set if the request has an
+    /// identifier.
     #[must_use]
     pub fn response(&self, request: Option<id::Request>) -> Response<Body> {
         let mut response = Response::new(Body::full(Bytes::from(self.encode())));
         *response.status_mut() = self.status;
         let headers = response.headers_mut();
-        headers.insert(CONTENT_TYPE, HeaderValue::from_static(CONTENT));
+        headers.insert(CONTENT_TYPE, HeaderValue::from_static(MEDIA_TYPE));
         if let Some(delay) = self.retry_after {
             headers.insert(RETRY_AFTER, HeaderValue::from(whole_seconds(delay)));
         }
         if let Some(request) = request {
-            headers.insert(crate::server::REQUEST, HeaderValue::from(request.0));
+            headers.insert(crate::server::REQUEST_HEADER, HeaderValue::from(request.0));
         }
         response
     }
 }
 
-/// Returns the delay in whole seconds, rounded up, one at the least.
+/// Returns the delay in whole seconds, rounded up, at least one.
 fn whole_seconds(delay: Duration) -> u64 {
     let up = u64::from(delay.subsec_nanos() > 0);
     (delay.as_secs() + up).max(1)
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -26,30 +26,32 @@
 
 use crate::{body::Body, write_timeout::WriteTimeout};
 
-/// Header that carries the attempt's number at its node.
-pub const REQUEST: &str = "dottereltally-request";
+/// Response header with the identifier of the request at this node.
+pub const REQUEST_HEADER: &str = "dottereltally-request";
 
-/// Pause after a failure to accept a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Time between two pings on an HTTP/2 connection.
-const PING_PERIOD: Duration = Duration::from_secs(20);
-/// Requests at a time on one HTTP/2 connection.
-const MAX_STREAMS: u32 = 256;
+/// Delay before accepting again after a failure to accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Time between two pings on an HTTP/2 connection, and the time limit of the
+/// reply.
+const HTTP2_PING_INTERVAL: Duration = Duration::from_secs(20);
+/// Maximum number of concurrent requests on one HTTP/2 connection.
+const MAX_HTTP2_STREAMS: u32 = 256;
 
 /// Limits of a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Size of a request's head that gets a proper refusal, bytes; heads of
-    /// more than twice the size end the connection.
+    /// Maximum size of a request's head, bytes. A larger head is refused, one of
+    /// more than twice the size ends the connection.
     pub head: usize,
     /// Time for a request's head to arrive.
     pub head_timeout: Duration,
-    /// Time without progress after which a caller that does not read its
-    /// answer is cut off.
+    /// Time without progress after which the connection of a caller that does
+    /// not read its response is closed.
     pub write_timeout: Duration,
 }
 
-/// Serves until `draining` becomes true and every connection has ended.
+/// Accepts connections until `draining` becomes true, then serves the open
+/// ones until they have ended.
 pub async fn serve<H, F>(
     listener: TcpListener,
     limits: Limits,
@@ -67,10 +69,10 @@
             Some(_) = connections.join_next() => {}
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    let serving = connection(stream, limits, draining.clone(), handler.clone());
+                    let serving = serve_connection(stream, limits, draining.clone(), handler.clone());
                     connections.spawn(serving);
                 }
-                Err(_) => sleep(ACCEPT_PAUSE).await,
+                Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             },
         }
     }
@@ -78,12 +80,13 @@
     while connections.join_next().await.is_some() {}
 }
 
-/// Waits until the node stops taking requests.
+/// Waits until the server must accept no more requests.
 async fn drained(draining: &mut watch::Receiver<bool>) {
     let _ = draining.wait_for(|draining| *draining).await;
 }
 
-async fn connection<H, F>(
+/// Serves a connection; closes it if no request arrives within the head timeout.
+async fn serve_connection<H, F>(
     stream: TcpStream,
     limits: Limits,
     mut draining: watch::Receiver<bool>,
@@ -94,8 +97,8 @@
 {
     let _ = stream.set_nodelay(true);
     let builder = builder(limits);
-    let used = Arc::new(AtomicBool::new(false));
-    let marker = Arc::clone(&used);
+    let request_seen = Arc::new(AtomicBool::new(false));
+    let marker = Arc::clone(&request_seen);
     let service = service_fn(move |request| {
         marker.store(true, Ordering::Relaxed);
         let answering = handler(request);
@@ -103,15 +106,15 @@
     });
     let stream = TokioIo::new(WriteTimeout::new(stream, limits.write_timeout));
     let mut serving = pin!(builder.serve_connection(stream, service));
-    let mut first_request = pin!(sleep(limits.head_timeout));
-    let mut first_checked = false;
+    let mut first_request_timeout = pin!(sleep(limits.head_timeout));
+    let mut first_request_checked = false;
     let mut closing = false;
     loop {
         tokio::select! {
             _ = serving.as_mut() => return,
-            () = &mut first_request, if !first_checked => {
-                first_checked = true;
-                if !used.load(Ordering::Relaxed) {
+            () = &mut first_request_timeout, if !first_request_checked => {
+                first_request_checked = true;
+                if !request_seen.load(Ordering::Relaxed) {
                     return;
                 }
             }
@@ -135,8 +138,8 @@
         .http2()
         .timer(TokioTimer::new())
         .max_header_list_size(u32::try_from(max_head).unwrap_or(u32::MAX))
-        .max_concurrent_streams(MAX_STREAMS)
-        .keep_alive_interval(PING_PERIOD)
-        .keep_alive_timeout(PING_PERIOD);
+        .max_concurrent_streams(MAX_HTTP2_STREAMS)
+        .keep_alive_interval(HTTP2_PING_INTERVAL)
+        .keep_alive_timeout(HTTP2_PING_INTERVAL);
     builder
 }
--- a/node/src/stream.rs
+++ b/node/src/stream.rs
@@ -1,4 +1,4 @@
-//! Passes an endpoint's answer on to the caller as it comes.
+//! Streams an endpoint's response to the caller as it arrives.
 
 use std::{
     future::Future,
@@ -17,32 +17,32 @@
 };
 
 use crate::{
-    body::Cut, dispatcher::Handle, flight::Flight, problem::Reason, sse, upstream::Broken,
+    body::Cut, dispatcher::Handle, problem::Reason, sse, tracker::Tracker, upstream::Broken,
 };
 
-/// Time for the last event of a cut stream to leave before the connection is
-/// aborted.
+/// Time to send the final error event of a truncated stream before the
+/// connection is aborted.
 const ABORT_DELAY: Duration = Duration::from_millis(50);
 
-/// Limits of one answer.
+/// Time limits of one response.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Time without a byte after which the answer counts as stalled.
+    /// Time without a byte after which the response counts as stalled.
     pub inactivity: Duration,
-    /// When the answer is of no more use.
+    /// Time at which the request is cancelled.
     pub deadline: Instant,
 }
 
 impl Limits {
-    /// Returns when to stop waiting for the next byte.
+    /// Returns when to stop waiting for the next byte, given the time of the last.
     #[must_use]
-    pub fn next(&self, last: Instant) -> Instant {
-        (last + self.inactivity).min(self.deadline)
+    pub fn next_timeout(&self, last_byte: Instant) -> Instant {
+        (last_byte + self.inactivity).min(self.deadline)
     }
 
-    /// Returns why the wait that ended at `now` ended.
+    /// Returns the reason for a timeout at `now`.
     #[must_use]
-    pub fn reason(&self, now: Instant) -> Reason {
+    pub fn timeout_reason(&self, now: Instant) -> Reason {
         if now >= self.deadline {
             Reason::DeadlinePassed
         } else {
@@ -51,9 +51,9 @@
     }
 }
 
-/// An answer on its way from an endpoint to the caller.
+/// Body that forwards a response from an endpoint to the caller.
 ///
-/// A task of its own cancels it at the deadline, because this body is not
+/// A separate task cancels the request at the deadline, because this body is not
 /// polled while the caller does not read.
 pub struct Forward<B, D: Handle> {
     state: State,
@@ -62,22 +62,26 @@
     first: Option<Frame<Bytes>>,
     scanner: Option<sse::Scanner>,
     limits: Limits,
-    last: Instant,
+    last_byte: Instant,
     timer: Pin<Box<Sleep>>,
 }
 
-/// Where the answer comes from; empty once it has ended or was cancelled.
+/// The response from the endpoint; empty once it has ended or was cancelled.
 struct Source<B, D: Handle>(Arc<Mutex<Option<Open<B, D>>>>);
 
+/// A response that has not ended.
 struct Open<B, D: Handle> {
     body: B,
-    flight: Flight<D>,
+    tracker: Tracker<D>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum State {
+    /// Frames are forwarded.
     Open,
+    /// The error event was sent; the connection is aborted after a delay.
     Aborting,
+    /// No more frames follow.
     Ended,
 }
 
@@ -86,7 +90,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes what is open, so that nobody else ends it.
+    /// Takes the open response, so that only the taker ends it.
     fn take(&self) -> Option<Open<B, D>> {
         self.lock().take()
     }
@@ -97,23 +101,24 @@
     B: Body<Data = Bytes, Error = Broken> + Send + Unpin + 'static,
     D: Handle,
 {
-    /// Starts with the first frame, if it was already read; `events` tells
-    /// whether the answer is a stream of server-sent events.
+    /// Starts to forward a response; `first` is its first frame if that was
+    /// already read, `is_event_stream` whether it is a stream of server-sent
+    /// events.
     pub fn new(
         body: B,
-        flight: Flight<D>,
+        tracker: Tracker<D>,
         first: Option<Frame<Bytes>>,
-        events: bool,
+        is_event_stream: bool,
         limits: Limits,
     ) -> Self {
-        let last = Instant::now();
-        let open = Some(Open { body, flight });
+        let last_byte = Instant::now();
+        let open = Some(Open { body, tracker });
         let source = Source(Arc::new(Mutex::new(open)));
         let watched = Source(Arc::clone(&source.0));
         let watchdog = tokio::spawn(async move {
             sleep_until(limits.deadline).await;
             if let Some(open) = watched.take() {
-                open.flight.expired();
+                open.tracker.expired();
             }
         });
         Self {
@@ -121,10 +126,10 @@
             source,
             watchdog: watchdog.abort_handle(),
             first,
-            scanner: events.then(sse::Scanner::default),
+            scanner: is_event_stream.then(sse::Scanner::default),
             limits,
-            last,
-            timer: Box::pin(sleep_until(limits.next(last))),
+            last_byte,
+            timer: Box::pin(sleep_until(limits.next_timeout(last_byte))),
         }
     }
 
@@ -149,34 +154,35 @@
         loop {
             ready!(self.timer.as_mut().poll(context));
             let now = Instant::now();
-            let limit = self.limits.next(self.last);
+            let limit = self.limits.next_timeout(self.last_byte);
             if now >= limit {
-                return Poll::Ready(Err(self.limits.reason(now)));
+                return Poll::Ready(Err(self.limits.timeout_reason(now)));
             }
             self.timer.as_mut().reset(limit);
         }
     }
 
-    /// Notes a frame that is passed on.
-    fn observe(&mut self, frame: &Frame<Bytes>) {
+    /// Records a frame that is forwarded.
+    fn record(&mut self, frame: &Frame<Bytes>) {
         let Some(data) = frame.data_ref() else {
             return;
         };
-        self.last = Instant::now();
+        self.last_byte = Instant::now();
         let tokens = self.scanner.as_mut().map(|scanner| scanner.feed(data));
         let mut source = self.source.lock();
         let Some(open) = source.as_mut() else {
             return;
         };
-        open.flight.start();
-        open.flight.progress(tokens.unwrap_or_default());
+        open.tracker.start();
+        open.tracker.progress(tokens.unwrap_or_default());
     }
 
-    /// Ends the answer where the endpoint ended it.
+    /// Ends the response as the endpoint ended it; an event stream without its
+    /// final event is truncated.
     fn finish(&mut self) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
         let scanner = self.scanner.as_ref();
         if scanner.is_some_and(|scanner| !scanner.is_done()) {
-            return self.cut(Reason::Broken);
+            return self.truncate(Reason::Broken);
         }
         let usage = scanner.and_then(sse::Scanner::usage);
         let usage = usage.unwrap_or(sse::Usage {
@@ -184,22 +190,22 @@
             output: scanner.map_or(0, sse::Scanner::events),
         });
         let Some(open) = self.source.take() else {
-            return self.cut(Reason::DeadlinePassed);
+            return self.truncate(Reason::DeadlinePassed);
         };
-        open.flight
-            .answered(Tokens(usage.cached), Tokens(usage.output));
+        open.tracker
+            .completed(Tokens(usage.cached), Tokens(usage.output));
         self.state = State::Ended;
         Poll::Ready(None)
     }
 
-    /// Ends the answer before its end, in a way that the caller can tell.
-    fn cut(&mut self, reason: Reason) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    /// Ends the response early, in a way that the caller can detect.
+    fn truncate(&mut self, reason: Reason) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
         if let Some(open) = self.source.take() {
             drop(open.body);
             match reason {
-                Reason::DeadlinePassed => open.flight.expired(),
-                Reason::Stalled => open.flight.stalled(),
-                _ => open.flight.broken(),
+                Reason::DeadlinePassed => open.tracker.expired(),
+                Reason::Stalled => open.tracker.stalled(),
+                _ => open.tracker.broken(),
             }
         }
         if self.scanner.is_none() {
@@ -243,11 +249,11 @@
         }
         match ready!(this.poll_upstream(context)) {
             Ok(Some(frame)) => {
-                this.observe(&frame);
+                this.record(&frame);
                 Poll::Ready(Some(Ok(frame)))
             }
             Ok(None) => this.finish(),
-            Err(reason) => this.cut(reason),
+            Err(reason) => this.truncate(reason),
         }
     }
 
@@ -256,12 +262,13 @@
     }
 }
 
-/// Returns the last event of a stream that was cut short.
+/// Returns the final event of a truncated stream.
 ///
-/// The line feeds before it end an event that was cut in its middle.
+/// It starts with line feeds, which end an event that was truncated in its
+/// middle.
 fn error_event(reason: Reason) -> Bytes {
     let event = format!(
-        "\n\ndata: {{\"error\": {{\"type\": \"{reason}\", \"message\": \"the answer was cut short; what came is not whole\", \"run\": \"may-have-run\"}}}}\n\n"
+        "\n\ndata: {{\"error\": {{\"type\": \"{reason}\", \"message\": \"the response was cut short and is incomplete\", \"run\": \"may-have-run\"}}}}\n\n"
     );
     Bytes::from(event)
 }
--- a/node/src/flight.rs
+++ b/node/src/tracker.rs
@@ -1,4 +1,4 @@
-//! A dispatched request from the hand-over to its end.
+//! Tracks a dispatched request until it ends.
 
 use std::{
     sync::Arc,
@@ -17,38 +17,38 @@
     clock::Clock,
     dispatcher::Handle,
     limit::Permit,
-    metrics::{Metrics, Result},
+    metrics::{Completion, Metrics},
 };
 
-/// Time between two reports of progress to the core.
+/// Minimum time between two reports of progress to the core.
 const REPORT_PERIOD: Duration = Duration::from_millis(200);
 
-/// Reports a dispatched request's course; dropping it reports that the
-/// caller left.
-pub struct Flight<D: Handle> {
+/// Reports the progress and the end of a dispatched request to the core and to
+/// the metrics; dropping it reports that the caller left.
+pub struct Tracker<D: Handle> {
     request: id::Request,
     profile: Arc<Profile>,
     dispatcher: D,
     metrics: Metrics,
     clock: Clock,
     _permit: Arc<Permit>,
-    verdict: Verdict,
+    status_class: StatusClass,
     started: bool,
     ended: bool,
     unreported: u64,
-    reported: Instant,
+    last_report: Instant,
 }
 
-/// What the answer's status says of the request.
+/// Outcome of the request according to the status of its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Verdict {
+enum StatusClass {
     Served,
     Rejected,
     Failed,
 }
 
-impl<D: Handle> Flight<D> {
-    /// Starts with a request whose hand-over begins.
+impl<D: Handle> Tracker<D> {
+    /// Starts to track a request that is about to be sent.
     #[must_use]
     pub fn new(
         request: &Request<Dispatched>,
@@ -65,15 +65,15 @@
             metrics,
             clock,
             _permit: permit,
-            verdict: Verdict::Served,
+            status_class: StatusClass::Served,
             started: false,
             ended: false,
             unreported: 0,
-            reported: Instant::now(),
+            last_report: Instant::now(),
         }
     }
 
-    /// Returns the attempt's number.
+    /// Returns the identifier of the request.
     #[must_use]
     pub fn id(&self) -> id::Request {
         self.request
@@ -85,7 +85,7 @@
         self.profile.remaining(self.clock.now())
     }
 
-    /// Reports the first byte of the answer.
+    /// Reports the first byte of the response.
     pub fn start(&mut self) {
         if self.started {
             return;
@@ -96,71 +96,75 @@
         self.dispatcher.tell(Event::Started(self.request));
     }
 
-    /// Reports tokens, at most once a period.
+    /// Adds output tokens and reports them, at most once per [`REPORT_PERIOD`].
     pub fn progress(&mut self, tokens: u64) {
         self.unreported += tokens;
-        if self.unreported == 0 || self.reported.elapsed() < REPORT_PERIOD {
+        if self.unreported == 0 || self.last_report.elapsed() < REPORT_PERIOD {
             return;
         }
-        self.reported = Instant::now();
+        self.last_report = Instant::now();
         let tokens = Tokens(std::mem::take(&mut self.unreported));
         self.dispatcher
             .tell(Event::Progressed(self.request, tokens));
     }
 
-    /// Notes the answer's status.
-    pub fn judge(&mut self, status: StatusCode) {
-        self.verdict = match status {
-            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Verdict::Rejected,
-            status if status.is_server_error() => Verdict::Failed,
-            _ => Verdict::Served,
+    /// Records the status of the response.
+    pub fn record_status(&mut self, status: StatusCode) {
+        self.status_class = match status {
+            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
+                StatusClass::Rejected
+            }
+            status if status.is_server_error() => StatusClass::Failed,
+            _ => StatusClass::Served,
         };
     }
 
-    /// Reports that the whole answer was passed on.
-    pub fn answered(self, cached: Tokens, output: Tokens) {
+    /// Reports that the whole response was sent on to the caller.
+    pub fn completed(self, cached: Tokens, output: Tokens) {
         let late = self.clock.now() > self.profile.deadline;
         let answered = Outcome::Answered { cached, output };
-        match self.verdict {
-            Verdict::Rejected => self.end(Outcome::Rejected, Result::Rejected),
-            Verdict::Failed => self.end(answered, Result::Failed),
-            Verdict::Served if late => self.end(answered, Result::Late),
-            Verdict::Served => self.end(answered, Result::Whole),
+        match self.status_class {
+            StatusClass::Rejected => self.end(Outcome::Rejected, Completion::Rejected),
+            StatusClass::Failed => self.end(answered, Completion::Failed),
+            StatusClass::Served if late => self.end(answered, Completion::Late),
+            StatusClass::Served => self.end(answered, Completion::Whole),
         }
     }
 
     /// Reports that the deadline passed and the request is cancelled.
     pub fn expired(self) {
-        self.end(Outcome::Cancelled, Result::Expired);
+        self.end(Outcome::Cancelled, Completion::Expired);
     }
 
     /// Reports that the connection broke.
     pub fn broken(self) {
-        self.end(Outcome::Broken, Result::Broken);
+        self.end(Outcome::Broken, Completion::Broken);
     }
 
-    /// Reports that the endpoint fell silent.
+    /// Reports that the endpoint stopped responding.
     pub fn stalled(self) {
-        self.end(Outcome::Stalled, Result::Stalled);
+        self.end(Outcome::Stalled, Completion::Stalled);
     }
 
-    /// Ends without a report, because nothing was handed over.
+    /// Ends without a report to the core, because nothing was sent.
     pub fn unsent(mut self) {
         self.ended = true;
         self.metrics.unsent();
     }
 
-    /// Reports that the endpoint answered another request; the connection is
-    /// at fault, which a probe on a new one settles.
-    pub fn crossed(self) {
-        self.end(Outcome::Stalled, Result::Crossed);
+    /// Reports that the endpoint sent the response to another request.
+    ///
+    /// The core is told [`Outcome::Stalled`]: the fault is in the connection, so
+    /// that a probe on a new one decides whether the endpoint is usable.
+    pub fn mismatched(self) {
+        self.end(Outcome::Stalled, Completion::Crossed);
     }
 
-    fn end(mut self, outcome: Outcome, result: Result) {
+    fn end(mut self, outcome: Outcome, result: Completion) {
         self.report(outcome, result);
     }
 
-    fn report(&mut self, outcome: Outcome, result: Result) {
+    fn report(&mut self, outcome: Outcome, result: Completion) {
         if self.ended {
             return;
         }
@@ -174,8 +178,8 @@
     }
 }
 
-impl<D: Handle> Drop for Flight<D> {
+impl<D: Handle> Drop for Tracker<D> {
     fn drop(&mut self) {
-        self.report(Outcome::Cancelled, Result::Cancelled);
+        self.report(Outcome::Cancelled, Completion::Cancelled);
     }
 }
