--- a/node/src/claim.rs
+++ b/node/src/claim.rs
@@ -1,14 +1,15 @@
-//! The right to run a non-idempotent call, held through the key-value service.
+//! The exclusive right to run a non-idempotent call, stored in the key-value
+//! service.
 //!
-//! An attempt claims its key by one transaction that writes the attempt's own
-//! token if the key is absent and reads the key otherwise. Whoever reads its
-//! own token holds the claim. The same transaction is repeated with the same
-//! token until it is answered, so that a lost answer settles itself.
+//! An attempt claims its key with one transaction that writes the attempt's
+//! token if the key is absent and reads the key otherwise. An attempt that
+//! reads back its own token holds the claim. The transaction is repeated with
+//! the same token until it is answered, so a lost answer does no harm.
 //!
-//! A token is deleted or replaced only after its node has recorded, for good,
-//! that the attempt was not dispatched. Hence the token of an attempt that was
-//! dispatched stays in the key until its lease runs out, and every other
-//! attempt reads it there. `docs/design/claims.md` gives the whole argument.
+//! A token is deleted or replaced only after its node has permanently recorded
+//! that the attempt was not dispatched. The token of a dispatched attempt
+//! therefore stays in the key until its lease expires, and every other attempt
+//! reads it there. `docs/design/claims.md` contains the full argument.
 
 mod breaker;
 mod counters;
@@ -16,7 +17,7 @@
 mod identity;
 mod keeper;
 mod lease;
-mod sweeper;
+mod releaser;
 
 use std::time::Duration;
 
@@ -29,7 +30,7 @@
 pub use held::{Dispatched, Held};
 pub use keeper::Keeper;
 
-/// What a claim is for.
+/// Identifies the call that a claim is for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Scope {
     /// The caller's workspace.
@@ -43,11 +44,11 @@
 /// Time limits of a keeper.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Time to settle a claim whose answer was lost.
+    /// Time to repeat a claiming transaction whose answer was lost.
     pub settle: Duration,
-    /// Time to wait for the answer of the attempt that holds the claim.
+    /// Time to wait for the attempt that holds the claim to end.
     pub wait: Duration,
-    /// Time to give a claim back while the caller waits for its refusal.
+    /// Time to release a claim while the caller waits to be refused.
     pub release: Duration,
 }
 
@@ -63,50 +64,50 @@
 
 /// Why an attempt did not get its claim.
 ///
-/// In no case may a caller conclude that the call did not run.
+/// No variant proves that the call did not run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Lost {
-    /// The attempt that held the claim was answered; this is its answer.
-    #[error("the call was answered before; use the answer that was kept")]
+    /// The attempt that held the claim has completed with this response.
+    #[error("the call has already completed; use the stored response")]
     Replay(Response),
     /// Another attempt holds the claim and has not ended.
     #[error("the call is running; send it again with the same key after {retry_after:?}")]
     Running {
-        /// When the caller should come back.
+        /// Time after which the caller should retry.
         retry_after: Duration,
     },
-    /// Another attempt held the claim and its answer can't be had.
-    #[error("the call may have run; look at its effects before sending it with another key")]
+    /// Another attempt held the claim and its response is not available.
+    #[error("the call may have run; check its effects before sending it with another key")]
     Unknown {
-        /// When the caller should come back, if that can help.
+        /// Time after which the caller should retry, if a retry can help.
         retry_after: Option<Duration>,
     },
-    /// The key was used for another request.
-    #[error("the idempotency key was used for another request; use a new key")]
+    /// The key was used for a different request.
+    #[error("the idempotency key was used for a different request; use a new key")]
     Mismatch,
-    /// The key-value service is away.
-    #[error("no claim can be taken: send the call again with the same key after {retry_after:?}")]
+    /// The key-value service is unavailable.
+    #[error("the key-value service is unavailable; retry with the same key after {retry_after:?}")]
     Away {
-        /// When the caller should come back.
+        /// Time after which the caller should retry.
         retry_after: Duration,
     },
 }
 
-/// Why a claim could not be given back.
+/// Why a claim could not be released.
 ///
-/// In no case may a caller conclude that the call did not run.
+/// No variant proves that the call did not run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The key-value service did not confirm it in time.
-    #[error("the claim was not confirmed as given back; send the call again with the same key")]
+    /// The key-value service did not confirm the release in time.
+    #[error("the release of the claim was not confirmed; send the call again with the same key")]
     Unconfirmed,
-    /// Another attempt has taken the key.
-    #[error("another attempt has taken the key; send the call again with the same key")]
+    /// Another attempt has claimed the key.
+    #[error("another attempt has claimed the key; send the call again with the same key")]
     Taken,
-    /// The claim was held for too long to rely on it.
-    #[error("the claim was held for longer than its lease covers; send the call again")]
+    /// The claim was held for so long that its lease may have expired.
+    #[error("the claim was held for so long that it may have expired; send the call again")]
     Expired,
-    /// The service refused the call.
+    /// The key-value service refused the transaction.
     #[error(transparent)]
     Refused(kv::Error),
 }
--- a/node/src/claim/breaker.rs
+++ b/node/src/claim/breaker.rs
@@ -1,9 +1,10 @@
-//! Refuses claims at once while the key-value service is away.
+//! A circuit breaker that refuses claims immediately while the key-value
+//! service is unavailable.
 //!
-//! The first failed call opens the breaker. From then on one read at a time
-//! tries the service; after one that succeeds a single claim is let through,
-//! and its success closes the breaker. A service that answers reads but loses
-//! writes thus holds up one claim a period.
+//! The first failed call opens the breaker. From then on the service is tried
+//! with one read at a time; after a successful read the breaker admits a
+//! single claim, whose success closes the breaker. A service that answers
+//! reads but loses writes therefore delays only one claim per period.
 
 use std::{
     mem,
@@ -15,27 +16,27 @@
 use prometheus_client::{metrics::counter::Counter, registry::Registry};
 use tokio::{sync::Notify, time};
 
-/// Time between two trials of a service that is away.
+/// Time between two trials of an unavailable service.
 pub(super) const TRIAL_PERIOD: Duration = Duration::from_millis(500);
 
-/// Key that a trial reads.
+/// Key that a trial reads; it need not exist.
 const TRIAL_KEY: &str = layout::CLAIMS;
 
-/// Whether claims are let through.
+/// Which claims are admitted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum State {
-    /// All of them.
+    /// All claims.
     #[default]
     Closed,
-    /// None.
+    /// No claim.
     Open,
-    /// The next one.
+    /// The next claim.
     HalfOpen,
-    /// None until the one that was let through has ended.
+    /// No claim while the one admitted in [`State::HalfOpen`] is in progress.
     Trial,
 }
 
-/// State shared by the keeper and the task that tries the service.
+/// State shared by the keeper and the task that runs the trials.
 #[derive(Clone, Default)]
 pub(super) struct Breaker {
     state: Arc<Mutex<State>>,
@@ -45,12 +46,13 @@
 }
 
 impl Breaker {
-    /// Returns whether the service is known to be away.
+    /// Returns whether the service is known to be unavailable.
     pub(super) fn is_open(&self) -> bool {
         *self.lock() == State::Open
     }
 
-    /// Returns whether a claim is let through.
+    /// Returns whether a claim may proceed; in the half-open state only the
+    /// first one may.
     pub(super) fn admit(&self) -> bool {
         let mut state = self.lock();
         match *state {
@@ -64,21 +66,21 @@
         }
     }
 
-    /// Records that a call failed.
+    /// Records a failed call, which opens the breaker.
     pub(super) fn open(&self) {
         let old = mem::replace(&mut *self.lock(), State::Open);
         self.changed.notify_one();
         if old == State::Closed {
             self.openings.inc();
-            tracing::warn!("key-value service away: no new claims");
+            tracing::warn!("key-value service unavailable: refusing new claims");
         }
     }
 
-    /// Records that a transaction succeeded.
+    /// Records a successful transaction, which closes the breaker.
     pub(super) fn close(&self) {
         let old = mem::take(&mut *self.lock());
         if old != State::Closed {
-            tracing::info!("key-value service back: claims are taken again");
+            tracing::info!("key-value service available again: accepting claims");
         }
     }
 
@@ -90,17 +92,17 @@
     pub(super) fn register(&self, registry: &mut Registry) {
         registry.register(
             "claim_breaker_openings",
-            "Times that claims began to be refused because the service was away",
+            "Times that the claim breaker opened because the service was unavailable",
             self.openings.clone(),
         );
         registry.register(
             "claim_breaker_trials",
-            "Reads that tried whether the service was back",
+            "Reads that tested whether the service was available again",
             self.trials.clone(),
         );
     }
 
-    /// Tries the service whenever the breaker is open, for ever.
+    /// Runs a trial each period while the breaker is open; never returns.
     pub(super) async fn run<S: kv::Store>(self, store: S) {
         loop {
             let state = *self.lock();
@@ -110,19 +112,19 @@
                     time::sleep(TRIAL_PERIOD).await;
                     self.trials.inc();
                     if store.get(TRIAL_KEY).await.is_ok() {
-                        self.allow_one(State::Open);
+                        self.half_open(State::Open);
                     }
                 }
                 State::Trial => {
                     time::sleep(TRIAL_PERIOD).await;
-                    self.allow_one(State::Trial);
+                    self.half_open(State::Trial);
                 }
             }
         }
     }
 
-    /// Lets the next claim through if the state is still `from`.
-    fn allow_one(&self, from: State) {
+    /// Admits the next claim if the state is still `from`.
+    fn half_open(&self, from: State) {
         let mut state = self.lock();
         if *state == from {
             *state = State::HalfOpen;
--- a/node/src/claim/counters.rs
+++ b/node/src/claim/counters.rs
@@ -1,31 +1,31 @@
-//! Counters of the keeper of claims.
+//! Counters of the claim keeper.
 
 use prometheus_client::{metrics::counter::Counter, registry::Registry};
 
-/// Counters of the keeper of claims; clones share them.
+/// Counters of the claim keeper; clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
-    /// Claims that were taken.
+    /// Claims that were acquired.
     pub taken: Counter,
-    /// Claims that were taken over from an attempt that was given up.
+    /// Claims that were taken over from an abandoned attempt.
     pub taken_over: Counter,
-    /// Claims that were given back.
+    /// Claims that were released.
     pub released: Counter,
-    /// Transactions that were sent.
+    /// Claiming transactions that were sent.
     pub transactions: Counter,
     /// Transactions that were repeated because their answer was lost.
     pub repeated: Counter,
-    /// Answers that were given again.
+    /// Calls answered with the stored response of an earlier attempt.
     pub replayed: Counter,
-    /// Calls that met a running attempt.
+    /// Calls whose claim was held by a running attempt.
     pub running: Counter,
-    /// Calls that met an attempt whose answer can't be had.
+    /// Calls whose claim was held by an attempt without an available response.
     pub unknown: Counter,
-    /// Calls whose key was used for another request.
+    /// Calls whose key was used for a different request.
     pub mismatched: Counter,
-    /// Calls that were refused because the service was away.
+    /// Calls refused because the key-value service was unavailable.
     pub away: Counter,
-    /// Claims that were not used in time.
+    /// Claims held for too long before dispatch.
     pub expired: Counter,
 }
 
@@ -33,16 +33,16 @@
     /// Registers the counters.
     pub fn register(&self, registry: &mut Registry) {
         let all = [
-            ("taken", "Claims that were taken", &self.taken),
+            ("taken", "Claims that were acquired", &self.taken),
             (
                 "taken_over",
-                "Claims taken over from attempts that were given up",
+                "Claims taken over from abandoned attempts",
                 &self.taken_over,
             ),
-            ("released", "Claims that were given back", &self.released),
+            ("released", "Claims that were released", &self.released),
             (
                 "transactions",
-                "Transactions that were sent",
+                "Claiming transactions that were sent",
                 &self.transactions,
             ),
             (
@@ -50,26 +50,34 @@
                 "Transactions repeated because their answer was lost",
                 &self.repeated,
             ),
-            ("replayed", "Answers that were given again", &self.replayed),
-            ("running", "Calls that met a running attempt", &self.running),
+            (
+                "replayed",
+                "Calls answered with the stored response of an earlier attempt",
+                &self.replayed,
+            ),
+            (
+                "running",
+                "Calls whose claim was held by a running attempt",
+                &self.running,
+            ),
             (
                 "unknown",
-                "Calls that met an attempt whose answer can't be had",
+                "Calls whose claim was held by an attempt without an available response",
                 &self.unknown,
             ),
             (
                 "mismatched",
-                "Calls whose key was used for another request",
+                "Calls whose key was used for a different request",
                 &self.mismatched,
             ),
             (
                 "away",
-                "Calls refused because the key-value service was away",
+                "Calls refused because the key-value service was unavailable",
                 &self.away,
             ),
             (
                 "expired",
-                "Claims that were not used in time",
+                "Claims held for too long before dispatch",
                 &self.expired,
             ),
         ];
--- a/node/src/claim/held.rs
+++ b/node/src/claim/held.rs
@@ -1,7 +1,7 @@
-//! A claim that is held, as a typestate.
+//! An acquired claim, as a typestate.
 //!
-//! `Held → Dispatched`; only a claim that was not dispatched can be given
-//! back, and only a dispatched one has an answer.
+//! [`Held`] becomes [`Dispatched`]. Only a claim that was not dispatched can
+//! be released, and only a dispatched one can have a response.
 
 use std::{
     sync::Arc,
@@ -11,23 +11,23 @@
 use tokio::time::Instant;
 
 use crate::{
-    claim::{Counters, Error, identity::Identity, sweeper},
+    claim::{Counters, Error, identity::Identity, releaser},
     peer::Response,
     replay::Attempts,
 };
 
-/// Time after which a claim is no longer relied on; far below the least time
-/// that its lease lives.
-const HOLD_LIMIT: Duration = Duration::from_hours(1);
+/// Longest time between requesting a claim and dispatching its call; far below
+/// the shortest lifetime of a claim, which its lease determines.
+const MAX_HOLD_TIME: Duration = Duration::from_hours(1);
 
-/// A moment on two clocks, as either may stand still while a host is paused.
+/// A point in time on two clocks, since either may stop while a host is paused.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Moment {
+pub(super) struct Timestamp {
     monotonic: Instant,
     wall: SystemTime,
 }
 
-impl Moment {
+impl Timestamp {
     pub(super) fn now() -> Self {
         Self {
             monotonic: Instant::now(),
@@ -35,55 +35,56 @@
         }
     }
 
-    /// Returns whether a claim that was asked for at this moment is too old.
+    /// Returns whether a claim requested at this time is too old to dispatch.
     fn is_too_old(&self) -> bool {
         let wall = self.wall.elapsed().unwrap_or_default();
-        self.monotonic.elapsed().max(wall) > HOLD_LIMIT
+        self.monotonic.elapsed().max(wall) > MAX_HOLD_TIME
     }
 }
 
-/// What an attempt needs until it ends.
-pub(super) struct Tools {
+/// Identity of an attempt and the shared services that it uses until it ends.
+pub(super) struct Context {
     pub(super) identity: Arc<Identity>,
     pub(super) attempts: Attempts,
-    pub(super) sweeper: sweeper::Handle,
+    pub(super) releaser: releaser::Handle,
     pub(super) counters: Counters,
 }
 
-/// An attempt that has not been dispatched; dropping it gives it up for good.
+/// An attempt that has not been dispatched; dropping it abandons the attempt
+/// permanently.
 pub(super) struct Pending {
-    tools: Option<Tools>,
-    asked: Moment,
-    sent: bool,
+    context: Option<Context>,
+    requested: Timestamp,
+    maybe_stored: bool,
 }
 
 impl Pending {
     /// Records a new attempt.
-    pub(super) fn begin(tools: Tools) -> Self {
-        tools
+    pub(super) fn begin(context: Context) -> Self {
+        context
             .attempts
-            .begin(&tools.identity.key, &tools.identity.token);
+            .begin(&context.identity.key, &context.identity.token);
         Self {
-            tools: Some(tools),
-            asked: Moment::now(),
-            sent: false,
+            context: Some(context),
+            requested: Timestamp::now(),
+            maybe_stored: false,
         }
     }
 
-    /// Records whether the claim may have been handed over.
-    pub(super) fn set_sent(&mut self, sent: bool) {
-        self.sent = sent;
+    /// Records whether the key-value service may have stored the claim.
+    pub(super) fn set_maybe_stored(&mut self, maybe_stored: bool) {
+        self.maybe_stored = maybe_stored;
     }
 
-    /// Returns whether the claim may have been handed over.
-    pub(super) fn was_sent(&self) -> bool {
-        self.sent
+    /// Returns whether the key-value service may have stored the claim.
+    pub(super) fn is_maybe_stored(&self) -> bool {
+        self.maybe_stored
     }
 
-    /// Records that the claim is held.
+    /// Records that the claim was acquired.
     pub(super) fn hold(self) -> Held {
-        if let Some(tools) = &self.tools {
-            tools.attempts.hold(&tools.identity.token);
+        if let Some(context) = &self.context {
+            context.attempts.hold(&context.identity.token);
         }
         Held { pending: self }
     }
@@ -91,23 +92,23 @@
 
 impl Drop for Pending {
     fn drop(&mut self) {
-        let Some(tools) = self.tools.take() else {
+        let Some(context) = self.context.take() else {
             return;
         };
-        if !self.sent {
-            tools.attempts.forget(&tools.identity.token);
+        if !self.maybe_stored {
+            context.attempts.forget(&context.identity.token);
             return;
         }
-        tools.attempts.give_up(&tools.identity.token);
-        tools.sweeper.abandon(tools.identity);
+        context.attempts.give_up(&context.identity.token);
+        context.releaser.release_in_background(context.identity);
     }
 }
 
-/// A claim that is held by an attempt that has not been dispatched.
+/// A claim held by an attempt that has not been dispatched.
 ///
-/// Dropping it gives the attempt up for good and the claim back in the
-/// background; a caller may then not be told that the call did not run.
-#[must_use = "dropping it gives the claim back"]
+/// Dropping it abandons the attempt permanently and releases the claim in the
+/// background; the caller must then not be told that the call did not run.
+#[must_use = "dropping it releases the claim"]
 pub struct Held {
     pending: Pending,
 }
@@ -117,96 +118,97 @@
     #[must_use]
     pub fn token(&self) -> &str {
         self.pending
-            .tools
+            .context
             .as_ref()
-            .map_or("", |tools| &tools.identity.token)
+            .map_or("", |context| &context.identity.token)
     }
 
-    /// Records that the call may be handed to an endpoint from here on.
+    /// Records that the call may be sent to an endpoint from now on.
     ///
     /// # Errors
     ///
-    /// Fails if the claim was held for so long that it may have lapsed, such
-    /// as after the host was paused; the call must not be dispatched then.
+    /// Fails if the claim was held for so long that it may have expired, for
+    /// example because the host was paused; the call must not be dispatched
+    /// then.
     ///
     /// # Panics
     ///
-    /// Panics if the attempt was dispatched or given up before.
+    /// Panics if the attempt was already dispatched or abandoned.
     pub fn dispatch(mut self) -> Result<Dispatched, Error> {
-        if self.pending.asked.is_too_old() {
-            if let Some(tools) = &self.pending.tools {
-                tools.counters.expired.inc();
+        if self.pending.requested.is_too_old() {
+            if let Some(context) = &self.pending.context {
+                context.counters.expired.inc();
             }
             return Err(Error::Expired);
         }
-        let tools = self.pending.tools.take();
-        if let Some(tools) = &tools {
-            tools.attempts.dispatch(&tools.identity.token);
+        let context = self.pending.context.take();
+        if let Some(context) = &context {
+            context.attempts.dispatch(&context.identity.token);
         }
         Ok(Dispatched {
-            tools,
-            asked: self.pending.asked,
+            context,
+            requested: self.pending.requested,
         })
     }
 
-    /// Gives the claim back; only if this succeeds, the call has not run.
+    /// Releases the claim; success proves that the call did not run.
     ///
     /// # Errors
     ///
     /// Fails if the key-value service does not confirm that no attempt holds
-    /// the key.
+    /// the key, or if the claim was held for too long.
     pub async fn release(mut self) -> Result<(), Error> {
-        let Some(tools) = self.pending.tools.take() else {
+        let Some(context) = self.pending.context.take() else {
             return Err(Error::Unconfirmed);
         };
-        tools.attempts.give_up(&tools.identity.token);
-        tools.sweeper.release(tools.identity).await?;
-        if self.pending.asked.is_too_old() {
+        context.attempts.give_up(&context.identity.token);
+        context.releaser.release(context.identity).await?;
+        if self.pending.requested.is_too_old() {
             return Err(Error::Expired);
         }
-        tools.counters.released.inc();
+        context.counters.released.inc();
         Ok(())
     }
 }
 
-/// A claim whose call may have been handed to an endpoint.
+/// A claim whose call may have been sent to an endpoint.
 ///
-/// Dropping it records that the answer is not known.
-#[must_use = "dropping it records that the answer is not known"]
+/// Dropping it records that the response is unknown.
+#[must_use = "dropping it records that the response is unknown"]
 pub struct Dispatched {
-    tools: Option<Tools>,
-    asked: Moment,
+    context: Option<Context>,
+    requested: Timestamp,
 }
 
 impl Dispatched {
-    /// Keeps the whole answer, to be given again to later attempts.
+    /// Stores the complete response, to be replayed to later attempts.
     pub fn complete(mut self, response: Response) {
-        if let Some(tools) = self.tools.take() {
-            tools.attempts.complete(&tools.identity.token, response);
+        if let Some(context) = self.context.take() {
+            context.attempts.complete(&context.identity.token, response);
         }
     }
 
-    /// Records that the answer is not known.
+    /// Records that the response is unknown.
     pub fn lose(self) {
         drop(self);
     }
 
-    /// Takes the dispatch back because the client library returned the whole
-    /// message, which proves that nothing was handed over.
+    /// Reverts the dispatch. The client library returned the whole message,
+    /// which proves that nothing was sent.
     ///
     /// # Panics
     ///
     /// Panics if the attempt has ended.
     pub fn undo<M>(mut self, _unsent: &M) -> Held {
-        let tools = self.tools.take();
-        if let Some(tools) = &tools {
-            tools.attempts.undo(&tools.identity.token);
+        let context = self.context.take();
+        if let Some(context) = &context {
+            context.attempts.undo(&context.identity.token);
         }
         Held {
             pending: Pending {
-                tools,
-                asked: self.asked,
-                sent: true,
+                context,
+                requested: self.requested,
+                maybe_stored: true,
             },
         }
     }
@@ -214,8 +216,8 @@
 
 impl Drop for Dispatched {
     fn drop(&mut self) {
-        if let Some(tools) = self.tools.take() {
-            tools.attempts.lose(&tools.identity.token);
+        if let Some(context) = self.context.take() {
+            context.attempts.lose(&context.identity.token);
         }
     }
 }
--- a/node/src/claim/identity.rs
+++ b/node/src/claim/identity.rs
@@ -7,7 +7,7 @@
 
 use crate::claim::Scope;
 
-/// Names one attempt's claim.
+/// Key, token and stored value of one attempt's claim.
 #[derive(Debug)]
 pub(super) struct Identity {
     pub(super) key: String,
@@ -17,7 +17,7 @@
 }
 
 impl Identity {
-    /// Draws a new token for an attempt.
+    /// Builds the claim of a new attempt, with a random token.
     pub(super) fn new(node: &id::Node, scope: &Scope, fingerprint: id::Fingerprint) -> Self {
         let token = Uuid::new_v4().simple().to_string();
         let record = layout::Claim {
@@ -33,11 +33,11 @@
         }
     }
 
-    /// Returns the transaction that claims the key, either if it is absent or
-    /// in the place of a value that was given up.
-    pub(super) fn claim(&self, given_up: Option<&[u8]>, lease: kv::Lease) -> kv::Transaction {
+    /// Returns the transaction that claims the key: if `abandoned` is none,
+    /// provided that the key is absent, else provided that it has that value.
+    pub(super) fn claim(&self, abandoned: Option<&[u8]>, lease: kv::Lease) -> kv::Transaction {
         let key = || self.key.clone();
-        let compare = match given_up {
+        let compare = match abandoned {
             None => kv::Compare::Absent(key()),
             Some(value) => kv::Compare::Value(key(), value.to_vec()),
         };
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Returns the transaction that deletes the key if it has this value.
+    /// Returns the transaction that deletes the key if it has this claim's value.
     pub(super) fn release(&self) -> kv::Transaction {
         let key = || self.key.clone();
         kv::Transaction {
@@ -60,8 +60,8 @@
     }
 }
 
-/// Returns the key of a claim: the workspace's prefix and a digest, so that
-/// its length is bounded whatever the caller sends.
+/// Returns the key of a claim: the workspace's prefix and a digest, which
+/// bounds the length of the key whatever the caller sends.
 fn key(scope: &Scope) -> String {
     let mut digest = Sha256::new();
     digest.update(scope.workspace.as_str());
@@ -81,7 +81,7 @@
 ///
 /// # Panics
 ///
-/// Panics if a record of strings and numbers can't be written as JSON.
+/// Panics if the record can't be serialized as JSON.
 fn encode(record: &layout::Claim) -> Vec<u8> {
-    serde_json::to_vec(record).expect("a record of strings and numbers is JSON")
+    serde_json::to_vec(record).expect("a record of strings and numbers can be serialized as JSON")
 }
--- a/node/src/claim/keeper.rs
+++ b/node/src/claim/keeper.rs
@@ -1,4 +1,4 @@
-//! Takes claims for the calls of one node.
+//! Acquires claims for the calls of one node.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,40 +17,42 @@
     claim::{
         Counters, Held, Limits, Lost, Scope,
         breaker::{Breaker, TRIAL_PERIOD},
-        held::{Pending, Tools},
+        held::{Context, Pending},
         identity::Identity,
         lease,
-        sweeper::{self, Sweeper},
+        releaser::{self, Releaser},
     },
     peer::{Answer, Peers},
     replay::Attempts,
 };
 
-/// Time before a transaction is repeated.
-const REPEAT_PERIOD: Duration = Duration::from_millis(50);
+/// Delay before a transaction whose answer was lost is repeated.
+const REPEAT_DELAY: Duration = Duration::from_millis(50);
 
 /// Time to wait for a lease to be granted.
-const LEASE_WAIT: Duration = Duration::from_millis(500);
+const LEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time limit of one question to the holder of a claim.
+/// Time limit of one query to the node that holds a claim.
 const ASK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time before the holder of a claim is asked again.
-const ASK_PERIOD: Duration = Duration::from_millis(50);
+/// Delay before the holder of a claim is asked a second time; doubles with
+/// each further query.
+const MIN_ASK_DELAY: Duration = Duration::from_millis(50);
 
-/// Longest such time.
-const ASK_PERIOD_LIMIT: Duration = Duration::from_millis(500);
+/// Longest delay between two queries to the holder of a claim.
+const MAX_ASK_DELAY: Duration = Duration::from_millis(500);
 
-/// When a caller should come back whose call runs elsewhere.
+/// Retry delay for a caller whose call is already running.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// When a caller should come back whose call's holder can't be asked.
-const RETRY_AFTER_SILENCE: Duration = Duration::from_secs(5);
+/// Retry delay for a caller whose call's holder can't be reached.
+const RETRY_AFTER_UNREACHABLE: Duration = Duration::from_secs(5);
 
-/// Number of holders that one attempt meets before it gives up.
-const ROUNDS: usize = 8;
+/// Number of answered transactions after which an attempt that does not hold
+/// the claim gives up.
+const MAX_ROUNDS: usize = 8;
 
-/// What a claim's key holds.
+/// Content of a claim's key.
 enum Found {
     /// The attempt's own token.
     Own,
@@ -66,7 +68,8 @@
     record: layout::Claim,
 }
 
-/// Takes claims; clones share it. Its tasks end with the last clone.
+/// Acquires claims; clones share its state, and its tasks end with the last
+/// clone.
 pub struct Keeper<S, P>(Arc<Inner<S, P>>);
 
 impl<S, P> Clone for Keeper<S, P> {
@@ -83,7 +86,7 @@
     attempts: Attempts,
     breaker: Breaker,
     leases: lease::Keeper,
-    sweeper: sweeper::Handle,
+    releaser: releaser::Handle,
     counters: Counters,
     _tasks: JoinSet<()>,
 }
@@ -98,11 +101,11 @@
     pub fn start(node: id::Node, store: S, peers: P, attempts: Attempts, limits: Limits) -> Self {
         let breaker = Breaker::default();
         let leases = lease::Keeper::default();
-        let (sweeper, task) = Sweeper::new(store.clone(), limits);
+        let (releaser, releaser_task) = Releaser::new(store.clone(), limits);
         let mut tasks = JoinSet::new();
         tasks.spawn(breaker.clone().run(store.clone()));
         tasks.spawn(leases.clone().run(store.clone(), breaker.clone()));
-        tasks.spawn(task.run());
+        tasks.spawn(releaser_task.run());
         Self(Arc::new(Inner {
             node,
             store,
@@ -111,7 +114,7 @@
             attempts,
             breaker,
             leases,
-            sweeper,
+            releaser,
             counters: Counters::default(),
             _tasks: tasks,
         }))
@@ -123,42 +126,42 @@
         &self.0.counters
     }
 
-    /// Registers the counters of the keeper and of what it keeps.
+    /// Registers the counters of the keeper, its breaker and its attempts.
     pub fn register(&self, registry: &mut Registry) {
         self.0.counters.register(registry);
         self.0.breaker.register(registry);
         self.0.attempts.counters().register(registry);
     }
 
-    /// Returns whether the key-value service answered last.
+    /// Returns false while the key-value service is known to be unavailable.
     #[must_use]
     pub fn is_available(&self) -> bool {
         !self.0.breaker.is_open()
     }
 
-    /// Waits until the claims that were given up are given back, or until
-    /// `deadline`; returns whether all are.
+    /// Waits until all abandoned claims are released, at most until `deadline`;
+    /// returns whether all are.
     pub async fn drain(&self, deadline: Instant) -> bool {
-        let idle = self.0.sweeper.idle();
+        let idle = self.0.releaser.idle();
         time::timeout_at(deadline, idle).await.is_ok()
     }
 
-    /// Takes the claim of a call, or returns what became of the attempt that
+    /// Acquires the claim of a call, or returns the outcome of the attempt that
     /// holds it.
     ///
-    /// Dropping the future gives the attempt up for good.
+    /// Dropping the future abandons the attempt permanently.
     ///
     /// # Errors
     ///
     /// Fails if another attempt holds or held the claim, or if the key-value
-    /// service does not confirm it before `deadline`.
+    /// service does not confirm the claim before `deadline`.
     pub async fn acquire(
         &self,
         scope: Scope,
         fingerprint: id::Fingerprint,
         deadline: Instant,
     ) -> Result<Held, Lost> {
-        let result = self.take(&scope, fingerprint, deadline).await;
+        let result = self.try_acquire(&scope, fingerprint, deadline).await;
         let counters = &self.0.counters;
         let counter = match &result {
             Ok(_) => &counters.taken,
@@ -172,50 +175,52 @@
         result
     }
 
-    async fn take(
+    /// Acquires a claim without counting the result.
+    async fn try_acquire(
         &self,
         scope: &Scope,
         fingerprint: id::Fingerprint,
         deadline: Instant,
     ) -> Result<Held, Lost> {
         if !self.0.breaker.admit() {
-            return Err(away());
+            return Err(unavailable());
         }
         let identity = Arc::new(Identity::new(&self.0.node, scope, fingerprint));
-        let mut pending = Pending::begin(Tools {
+        let mut pending = Pending::begin(Context {
             identity: Arc::clone(&identity),
             attempts: self.0.attempts.clone(),
-            sweeper: self.0.sweeper.clone(),
+            releaser: self.0.releaser.clone(),
             counters: self.0.counters.clone(),
         });
-        let mut given_up = None;
-        for _ in 0..ROUNDS {
+        let mut abandoned = None;
+        for _ in 0..MAX_ROUNDS {
             let found = self
-                .settle(&mut pending, &identity, given_up.as_deref(), deadline)
+                .transact(&mut pending, &identity, abandoned.as_deref(), deadline)
                 .await?;
             match found {
                 Found::Own => {
-                    if given_up.is_some() {
+                    if abandoned.is_some() {
                         self.0.counters.taken_over.inc();
                     }
                     return Ok(pending.hold());
                 }
-                Found::Absent => given_up = None,
+                Found::Absent => abandoned = None,
                 Found::Other(other) => {
-                    self.await_end(&identity, &other, deadline).await?;
-                    given_up = Some(other.value);
+                    self.await_abandonment(&identity, &other, deadline).await?;
+                    abandoned = Some(other.value);
                 }
             }
         }
         Err(running())
     }
 
-    /// Repeats the claiming transaction until it is answered.
-    async fn settle(
+    /// Repeats the claiming transaction until it is answered; `abandoned` is
+    /// the value to be replaced, none if the key must be absent.
+    async fn transact(
         &self,
         pending: &mut Pending,
         identity: &Identity,
-        given_up: Option<&[u8]>,
+        abandoned: Option<&[u8]>,
         deadline: Instant,
     ) -> Result<Found, Lost> {
         let end = deadline.min(Instant::now() + self.0.limits.settle);
@@ -223,20 +228,20 @@
             let Some(lease) = self
                 .0
                 .leases
-                .get(end.min(Instant::now() + LEASE_WAIT))
+                .get(end.min(Instant::now() + LEASE_TIMEOUT))
                 .await
             else {
                 break;
             };
-            let sent_before = pending.was_sent();
-            pending.set_sent(true);
+            let stored_before = pending.is_maybe_stored();
+            pending.set_maybe_stored(true);
             self.0.counters.transactions.inc();
-            let transaction = identity.claim(given_up, lease);
+            let transaction = identity.claim(abandoned, lease);
             let error = match self.0.store.transact(transaction).await {
                 Ok(outcome) => {
                     self.0.breaker.close();
-                    let found = read(identity, outcome);
-                    pending.set_sent(sent_before || matches!(found, Ok(Found::Own)));
+                    let found = read_outcome(identity, outcome);
+                    pending.set_maybe_stored(stored_before || matches!(found, Ok(Found::Own)));
                     return found;
                 }
                 Err(error) => error,
@@ -244,34 +249,35 @@
             if error.may_have_taken_effect() {
                 self.0.counters.repeated.inc();
             } else {
-                pending.set_sent(sent_before);
+                pending.set_maybe_stored(stored_before);
             }
             match error {
                 KvError::UnknownLease(lease) => self.0.leases.forget(lease),
                 KvError::Refused(_) => break,
                 KvError::Unreachable { .. } | KvError::Lost(_) | KvError::Unreadable(_) => {
                     self.0.breaker.open();
-                    if !pending.was_sent() {
+                    if !pending.is_maybe_stored() {
                         break;
                     }
                 }
             }
-            time::sleep_until(end.min(Instant::now() + REPEAT_PERIOD)).await;
+            time::sleep_until(end.min(Instant::now() + REPEAT_DELAY)).await;
         }
-        Err(away())
+        Err(unavailable())
     }
 
-    /// Waits until the attempt that holds the claim is known to be given up.
-    async fn await_end(
+    /// Waits until the attempt that holds the claim is known to be abandoned;
+    /// fails if it ended in another way or is still running.
+    async fn await_abandonment(
         &self,
         identity: &Identity,
         other: &Other,
         deadline: Instant,
     ) -> Result<(), Lost> {
         let end = deadline.min(Instant::now() + self.0.limits.wait);
-        let mut pause = ASK_PERIOD;
+        let mut delay = MIN_ASK_DELAY;
         loop {
-            let answer = self.ask(identity, &other.record).await?;
+            let answer = self.ask_holder(identity, &other.record).await?;
             if answer == Answer::NotRun {
                 return Ok(());
             }
@@ -283,35 +289,39 @@
                 Answer::Unknown | Answer::Lost => return Err(Lost::Unknown { retry_after: None }),
                 Answer::Running | Answer::NotRun => {}
             }
-            if Instant::now() + pause >= end {
+            if Instant::now() + delay >= end {
                 return Err(running());
             }
-            time::sleep(pause).await;
-            pause = (pause * 2).min(ASK_PERIOD_LIMIT);
+            time::sleep(delay).await;
+            delay = (delay * 2).min(MAX_ASK_DELAY);
         }
     }
 
-    /// Asks the holder of a claim what became of its attempt.
-    async fn ask(&self, identity: &Identity, record: &layout::Claim) -> Result<Answer, Lost> {
+    /// Asks the node that holds a claim for the outcome of its attempt.
+    async fn ask_holder(
+        &self,
+        identity: &Identity,
+        record: &layout::Claim,
+    ) -> Result<Answer, Lost> {
         if record.node == self.0.node {
             return Ok(self.0.attempts.answer(&identity.key, &record.token));
         }
         let peers = &self.0.peers;
-        let asking = peers.answer(&record.node, &identity.key, &record.token);
-        if let Ok(Ok(answer)) = time::timeout(ASK_TIMEOUT, asking).await {
+        let query = peers.answer(&record.node, &identity.key, &record.token);
+        if let Ok(Ok(answer)) = time::timeout(ASK_TIMEOUT, query).await {
             return Ok(answer);
         }
         if record.fingerprint != identity.fingerprint {
             return Err(Lost::Mismatch);
         }
         Err(Lost::Unknown {
-            retry_after: Some(RETRY_AFTER_SILENCE),
+            retry_after: Some(RETRY_AFTER_UNREACHABLE),
         })
     }
 }
 
-/// Reads what the claim's key holds from the outcome of the transaction.
-fn read(identity: &Identity, outcome: kv::Outcome) -> Result<Found, Lost> {
+/// Returns the content of the claim's key according to a transaction's outcome.
+fn read_outcome(identity: &Identity, outcome: kv::Outcome) -> Result<Found, Lost> {
     if outcome.succeeded {
         return Ok(Found::Own);
     }
@@ -330,7 +340,7 @@
     }))
 }
 
-fn away() -> Lost {
+fn unavailable() -> Lost {
     Lost::Away {
         retry_after: TRIAL_PERIOD * 2,
     }
--- a/node/src/claim/lease.rs
+++ b/node/src/claim/lease.rs
@@ -1,8 +1,8 @@
-//! The lease that this node's new claims are bound to.
+//! The lease to which this node's new claims are attached.
 //!
-//! Claims are meant to vanish after their retention, not with their node.
-//! Leases are therefore never renewed: a new one is granted each period, and
-//! the old one runs out with the claims that are bound to it.
+//! A claim has to expire after its retention, not when its node ends. Leases
+//! are therefore never renewed: a new one is requested each period, and the
+//! old one expires together with the claims attached to it.
 
 use std::{
     pin::pin,
@@ -15,27 +15,27 @@
 
 use crate::claim::breaker::Breaker;
 
-/// Time that a claim lives at the most.
+/// Longest lifetime of a claim.
 pub(super) const RETENTION: Duration = Duration::from_hours(24);
 
-/// Time after which new claims are bound to a new lease.
+/// Time after which new claims are attached to a new lease.
 const GRANT_PERIOD: Duration = Duration::from_hours(1);
 
-/// Age of a lease at which it is no longer used; a claim lives at least for
-/// [`RETENTION`] less this.
-const AGE_LIMIT: Duration = Duration::from_hours(12);
+/// Age above which a lease is no longer used for new claims; the shortest
+/// lifetime of a claim is [`RETENTION`] less this.
+const MAX_AGE: Duration = Duration::from_hours(12);
 
-/// Time between two attempts to get a lease.
-const RETRY_PERIOD: Duration = Duration::from_millis(500);
+/// Delay after a failed request for a lease.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// A lease and when its grant was asked for.
+/// A lease and the time when it was requested.
 #[derive(Clone, Copy, Debug)]
 struct Granted {
     lease: kv::Lease,
-    asked: time::Instant,
+    requested: time::Instant,
 }
 
-/// The lease in use; clones share it.
+/// Keeps the lease for new claims; clones share it.
 #[derive(Clone, Default)]
 pub(super) struct Keeper {
     current: Arc<Mutex<Option<Granted>>>,
@@ -43,7 +43,7 @@
 }
 
 impl Keeper {
-    /// Waits for a lease until `deadline`.
+    /// Returns the current lease, waiting for one at most until `deadline`.
     pub(super) async fn get(&self, deadline: time::Instant) -> Option<kv::Lease> {
         loop {
             let mut changed = pin!(self.changed.notified());
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Records that the service does not know a lease.
+    /// Drops a lease that the service does not know.
     pub(super) fn forget(&self, lease: kv::Lease) {
         let mut current = self.lock();
         if current.is_some_and(|granted| granted.lease == lease) {
@@ -64,11 +64,11 @@
         }
     }
 
-    /// Returns the lease if it is young enough.
+    /// Returns the current lease, or none if it is too old.
     fn current(&self) -> Option<kv::Lease> {
         let mut current = self.lock();
         let granted = (*current)?;
-        if granted.asked.elapsed() > AGE_LIMIT {
+        if granted.requested.elapsed() > MAX_AGE {
             *current = None;
             self.changed.notify_waiters();
             return None;
@@ -80,8 +80,8 @@
         self.current.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits until there is no lease.
-    async fn gone(&self) {
+    /// Waits until there is no current lease.
+    async fn wait_until_none(&self) {
         loop {
             let mut changed = pin!(self.changed.notified());
             changed.as_mut().enable();
@@ -92,21 +92,22 @@
         }
     }
 
-    /// Grants leases, for ever.
+    /// Requests a new lease each period and whenever there is none; never
+    /// returns.
     pub(super) async fn run<S: kv::Store>(self, store: S, breaker: Breaker) {
         loop {
-            let asked = time::Instant::now();
+            let requested = time::Instant::now();
             match store.grant(RETENTION).await {
                 Ok(lease) => {
-                    *self.lock() = Some(Granted { lease, asked });
+                    *self.lock() = Some(Granted { lease, requested });
                     self.changed.notify_waiters();
-                    let _due = time::timeout(GRANT_PERIOD, self.gone()).await;
+                    let _due = time::timeout(GRANT_PERIOD, self.wait_until_none()).await;
                 }
                 Err(error) => {
                     if !matches!(error, kv::Error::Refused(_)) {
                         breaker.open();
                     }
-                    time::sleep(RETRY_PERIOD).await;
+                    time::sleep(RETRY_DELAY).await;
                 }
             }
         }
--- a/node/src/claim/sweeper.rs
+++ b/node/src/claim/releaser.rs
@@ -1,4 +1,4 @@
-//! Gives claims back by compare-and-swap on exactly their own value.
+//! Releases claims, deleting a key only if it still has the claim's own value.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,66 +11,67 @@
 
 use crate::claim::{Error, Limits, identity::Identity};
 
-/// Time before a deletion with a lost answer is repeated.
-const REPEAT_PERIOD: Duration = Duration::from_millis(50);
+/// Delay before a deletion whose answer was lost is repeated.
+const REPEAT_DELAY: Duration = Duration::from_millis(50);
 
-/// Time before a claim whose caller has been answered is tried again.
-const RETRY_PERIOD: Duration = Duration::from_secs(1);
+/// Delay before the second background try to release a claim; doubles with
+/// each further try.
+const MIN_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Longest such time.
-const RETRY_LIMIT: Duration = Duration::from_mins(1);
+/// Longest delay between two background tries.
+const MAX_RETRY_DELAY: Duration = Duration::from_mins(1);
 
-/// Number of tries for a claim whose caller has been answered.
-const TRIES: u32 = 20;
+/// Number of background tries to release one claim.
+const MAX_TRIES: u32 = 20;
 
-/// Number of claims that are given back at the same time at the most; further
-/// ones are left to their lease, or to an attempt that takes them over.
-const TASK_LIMIT: usize = 4096;
+/// Number of claims that are released concurrently; further ones are left to
+/// expire with their lease, or to be taken over by another attempt.
+const MAX_TASKS: usize = 4096;
 
-/// A claim to be given back.
+/// A claim to be released.
 struct Job {
     identity: Arc<Identity>,
     reply: Option<oneshot::Sender<Result<(), Error>>>,
-    _open: Open,
+    _outstanding: Outstanding,
 }
 
-/// Counts one job as open until it is dropped.
-struct Open(Arc<watch::Sender<usize>>);
+/// Counts one job as outstanding until it is dropped.
+struct Outstanding(Arc<watch::Sender<usize>>);
 
-impl Open {
+impl Outstanding {
     fn new(count: &Arc<watch::Sender<usize>>) -> Self {
         count.send_modify(|count| *count += 1);
         Self(Arc::clone(count))
     }
 }
 
-impl Drop for Open {
+impl Drop for Outstanding {
     fn drop(&mut self) {
         self.0.send_modify(|count| *count -= 1);
     }
 }
 
-/// Hands claims to the sweeper; clones share it.
+/// Passes claims to the releaser; clones share it.
 #[derive(Clone)]
 pub(super) struct Handle {
     jobs: mpsc::UnboundedSender<Job>,
-    open: Arc<watch::Sender<usize>>,
+    outstanding: Arc<watch::Sender<usize>>,
 }
 
 impl Handle {
-    /// Waits until no claim is left to be given back.
+    /// Waits until no job is outstanding.
     pub(super) async fn idle(&self) {
-        let mut open = self.open.subscribe();
-        let _idle = open.wait_for(|count| *count == 0).await;
+        let mut outstanding = self.outstanding.subscribe();
+        let _idle = outstanding.wait_for(|count| *count == 0).await;
     }
 
-    /// Gives a claim back and waits for the result.
+    /// Releases a claim and waits for the result.
     pub(super) async fn release(&self, identity: Arc<Identity>) -> Result<(), Error> {
         let (reply, result) = oneshot::channel();
         let job = Job {
             identity,
             reply: Some(reply),
-            _open: Open::new(&self.open),
+            _outstanding: Outstanding::new(&self.outstanding),
         };
         if self.jobs.send(job).is_err() {
             return Err(Error::Unconfirmed);
@@ -78,75 +79,76 @@
         result.await.unwrap_or(Err(Error::Unconfirmed))
     }
 
-    /// Gives a claim back in the background.
-    pub(super) fn abandon(&self, identity: Arc<Identity>) {
+    /// Releases a claim in the background.
+    pub(super) fn release_in_background(&self, identity: Arc<Identity>) {
         let job = Job {
             identity,
             reply: None,
-            _open: Open::new(&self.open),
+            _outstanding: Outstanding::new(&self.outstanding),
         };
         let _stopped = self.jobs.send(job);
     }
 }
 
-/// Gives claims back until its handles are gone.
-pub(super) struct Sweeper<S> {
+/// Releases claims until all its handles are dropped.
+pub(super) struct Releaser<S> {
     store: S,
     limits: Limits,
     jobs: mpsc::UnboundedReceiver<Job>,
 }
 
-impl<S: kv::Store> Sweeper<S> {
+impl<S: kv::Store> Releaser<S> {
     pub(super) fn new(store: S, limits: Limits) -> (Handle, Self) {
         let (sender, jobs) = mpsc::unbounded_channel();
         let handle = Handle {
             jobs: sender,
-            open: Arc::default(),
+            outstanding: Arc::default(),
         };
-        let sweeper = Self {
+        let releaser = Self {
             store,
             limits,
             jobs,
         };
-        (handle, sweeper)
+        (handle, releaser)
     }
 
     pub(super) async fn run(mut self) {
         let mut tasks = JoinSet::new();
         while let Some(job) = self.jobs.recv().await {
             while tasks.try_join_next().is_some() {}
-            if tasks.len() >= TASK_LIMIT {
+            if tasks.len() >= MAX_TASKS {
                 continue;
             }
-            tasks.spawn(sweep(self.store.clone(), self.limits, job));
+            tasks.spawn(release(self.store.clone(), self.limits, job));
         }
     }
 }
 
-/// Gives one claim back.
-async fn sweep<S: kv::Store>(store: S, limits: Limits, mut job: Job) {
+/// Releases one claim: replies to the waiting caller, if any, within the time
+/// limit, and goes on in the background unless the result is final.
+async fn release<S: kv::Store>(store: S, limits: Limits, mut job: Job) {
     if let Some(reply) = job.reply.take() {
         let confirm = confirm(&store, &job.identity);
         let result = time::timeout(limits.release, confirm)
             .await
             .unwrap_or(Err(Error::Unconfirmed));
-        let settled = matches!(result, Ok(()) | Err(Error::Taken));
+        let is_final = matches!(result, Ok(()) | Err(Error::Taken));
         let _gone = reply.send(result);
-        if settled {
+        if is_final {
             return;
         }
     }
-    let mut pause = RETRY_PERIOD;
-    for _ in 0..TRIES {
+    let mut delay = MIN_RETRY_DELAY;
+    for _ in 0..MAX_TRIES {
         if delete(&store, &job.identity).await.is_ok() {
             return;
         }
-        time::sleep(pause).await;
-        pause = (pause * 2).min(RETRY_LIMIT);
+        time::sleep(delay).await;
+        delay = (delay * 2).min(MAX_RETRY_DELAY);
     }
 }
 
-/// Repeats the deletion until it is answered.
+/// Deletes the key and repeats the deletion for as long as its answer is lost.
 async fn confirm<S: kv::Store>(store: &S, identity: &Identity) -> Result<(), Error> {
     loop {
         match delete(store, identity).await {
@@ -155,14 +157,14 @@
             Err(kv::Error::Refused(cause)) => {
                 return Err(Error::Refused(kv::Error::Refused(cause)));
             }
-            Err(error) if error.may_have_taken_effect() => time::sleep(REPEAT_PERIOD).await,
+            Err(error) if error.may_have_taken_effect() => time::sleep(REPEAT_DELAY).await,
             Err(_) => return Err(Error::Unconfirmed),
         }
     }
 }
 
-/// Deletes the key if it has the attempt's value; returns whether the key is
-/// absent now.
+/// Deletes the key if it has the claim's value; returns whether the key is
+/// absent afterwards.
 async fn delete<S: kv::Store>(store: &S, identity: &Identity) -> Result<bool, kv::Error> {
     let outcome = store.transact(identity.release()).await?;
     if outcome.succeeded {
