--- a/node/src/configuration.rs
+++ b/node/src/configuration.rs
@@ -1,8 +1,9 @@
-//! Keeps the highest configuration that is known in force.
+//! Keeps the configuration with the highest known generation in force.
 //!
-//! A configuration comes from a watch of the key-value service, from a
-//! periodic read of it, or from a peer that has a higher generation. Only a
-//! higher generation with a valid text is taken, whatever the source.
+//! A configuration comes from a watch on the key-value service, from a
+//! periodic read of it, or from a peer that has a higher generation in force.
+//! From any source, it is accepted only if its generation is higher than the
+//! one in force and its text is valid.
 
 mod controller;
 mod counters;
@@ -17,24 +18,25 @@
 pub use controller::{Arguments, Controller, Message};
 pub use counters::Counters;
 
-/// A configuration in force.
+/// The configuration in force.
 #[derive(Clone, Debug)]
 pub struct Current {
-    /// As stored.
+    /// The stored record.
     pub record: layout::Configuration,
-    /// Its checked text.
+    /// The record's text, parsed and validated.
     pub text: Arc<text::Text>,
 }
 
-/// Reads the configuration in force and waits for the next.
+/// Reads the configuration in force, none until one is known, and waits for
+/// changes.
 pub type Receiver = watch::Receiver<Option<Arc<Current>>>;
 
-/// The configuration in force and the highest generation that is known of;
-/// clones share them.
+/// The configuration in force and the highest generation that a peer has
+/// reported; clones share them.
 #[derive(Clone, Default)]
 pub struct Handle {
     current: Arc<watch::Sender<Option<Arc<Current>>>>,
-    known: Arc<watch::Sender<id::Generation>>,
+    reported: Arc<watch::Sender<id::Generation>>,
 }
 
 impl Handle {
@@ -44,7 +46,7 @@
         self.current.subscribe()
     }
 
-    /// Returns the generation in force, zero for none.
+    /// Returns the generation in force, zero if there is none.
     #[must_use]
     pub fn generation(&self) -> id::Generation {
         let current = self.current.borrow();
@@ -53,7 +55,8 @@
             .map_or_else(id::Generation::default, |current| current.record.generation)
     }
 
-    /// Returns the configuration in force if it is above this generation.
+    /// Returns the configuration in force if its generation is higher than
+    /// `above`.
     #[must_use]
     pub fn newer(&self, above: id::Generation) -> Option<layout::Configuration> {
         let current = self.current.borrow();
@@ -61,14 +64,15 @@
         (record.generation > above).then(|| record.clone())
     }
 
-    /// Learns that a peer has a higher generation in force.
+    /// Records that a peer has a generation in force, so that it is fetched if
+    /// it is higher than the own one.
     pub fn outdated(&self, generation: id::Generation) {
-        self.known.send_if_modified(|known| {
-            let higher = generation > *known;
-            if higher {
-                *known = generation;
+        self.reported.send_if_modified(|reported| {
+            let is_higher = generation > *reported;
+            if is_higher {
+                *reported = generation;
             }
-            higher
+            is_higher
         });
     }
 
--- a/node/src/configuration/controller.rs
+++ b/node/src/configuration/controller.rs
@@ -12,19 +12,19 @@
     peer::Peers,
 };
 
-/// What the controller is told.
+/// Messages of the actor.
 #[derive(Debug)]
 pub enum Message {
-    /// A source has a configuration.
+    /// A source has read a configuration.
     Offer(layout::Configuration),
 }
 
-/// The actor.
+/// The actor that keeps the configuration in force.
 pub struct Controller<S, P>(PhantomData<fn(S, P)>);
 
-/// What the actor starts with.
+/// Arguments that start the actor.
 pub struct Arguments<S, P> {
-    /// Where the configuration in force is published.
+    /// Publishes the configuration in force.
     pub handle: Handle,
     /// The key-value service.
     pub store: S,
@@ -38,8 +38,9 @@
 pub struct State {
     handle: Handle,
     counters: Counters,
-    /// Token of the invalid configuration that was logged last.
-    refused: String,
+    /// Token of the invalid configuration that was logged last, so that it is
+    /// logged and parsed only once.
+    last_invalid: String,
     _sources: JoinSet<()>,
 }
 
@@ -71,7 +72,7 @@
         Ok(State {
             handle,
             counters,
-            refused: String::new(),
+            last_invalid: String::new(),
             _sources: source::start(&myself, arguments),
         })
     }
@@ -83,7 +84,7 @@
         state: &mut State,
     ) -> Result<(), ActorProcessingErr> {
         let Message::Offer(record) = message;
-        state.consider(record).await;
+        state.accept_if_newer(record).await;
         Ok(())
     }
 }
@@ -91,12 +92,12 @@
 impl State {
     /// Puts a configuration in force if its generation is higher than the one
     /// in force and its text is valid.
-    async fn consider(&mut self, record: layout::Configuration) {
+    async fn accept_if_newer(&mut self, record: layout::Configuration) {
         if record.generation <= self.handle.generation() {
             self.counters.passed_over.inc();
             return;
         }
-        if record.token == self.refused {
+        if record.token == self.last_invalid {
             self.counters.invalid.inc();
             return;
         }
@@ -115,9 +116,9 @@
             generation = %record.generation,
             author = record.author,
             faults,
-            "invalid configuration passed over; apply a corrected text"
+            "ignoring an invalid configuration; apply a corrected text"
         );
-        self.refused = record.token;
+        self.last_invalid = record.token;
     }
 
     fn publish(&self, record: layout::Configuration, text: Text) {
--- a/node/src/configuration/counters.rs
+++ b/node/src/configuration/counters.rs
@@ -12,11 +12,11 @@
     pub generation: Gauge,
     /// Configurations put in force.
     pub taken: Counter,
-    /// Configurations passed over because their generation was not higher.
+    /// Configurations ignored because their generation was not higher.
     pub passed_over: Counter,
-    /// Configurations passed over because their text was invalid.
+    /// Configurations ignored because their text was invalid.
     pub invalid: Counter,
-    /// Values of the key that were not a configuration.
+    /// Values of the configuration's key that could not be decoded.
     pub unreadable: Counter,
     /// Reads of the key-value service.
     pub reads: Counter,
@@ -24,9 +24,9 @@
     pub failed_reads: Counter,
     /// Watches that were started.
     pub watches: Counter,
-    /// Watches that were replaced because they had missed a change.
+    /// Watches replaced because they had missed a change.
     pub silent_watches: Counter,
-    /// Requests to peers.
+    /// Requests to peers for a newer configuration.
     pub fetches: Counter,
 }
 
@@ -42,17 +42,17 @@
             ("taken", "Configurations put in force", &self.taken),
             (
                 "passed_over",
-                "Configurations passed over: generation not higher",
+                "Configurations ignored: generation not higher",
                 &self.passed_over,
             ),
             (
                 "invalid",
-                "Configurations passed over: text invalid",
+                "Configurations ignored: text invalid",
                 &self.invalid,
             ),
             (
                 "unreadable",
-                "Values of the key that were not a configuration",
+                "Values of the configuration's key that could not be decoded",
                 &self.unreadable,
             ),
             ("reads", "Reads of the key-value service", &self.reads),
@@ -63,7 +63,11 @@
                 "Watches replaced because they had missed a change",
                 &self.silent_watches,
             ),
-            ("fetches", "Requests to peers", &self.fetches),
+            (
+                "fetches",
+                "Requests to peers for a newer configuration",
+                &self.fetches,
+            ),
         ];
         for (name, help, counter) in all {
             registry.register(format!("configuration_{name}"), help, counter.clone());
--- a/node/src/configuration/source.rs
+++ b/node/src/configuration/source.rs
@@ -1,4 +1,4 @@
-//! Where configurations come from: a watch, a periodic read, the peers.
+//! The sources of configurations: a watch, a periodic read and the peers.
 
 use std::{
     sync::{
@@ -35,16 +35,17 @@
 /// Time limit of one read.
 const READ_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Mean time before a watch that ended is started again.
-const WATCH_PERIOD: Duration = Duration::from_secs(1);
+/// Mean delay before a watch that ended is restarted.
+const WATCH_RESTART_DELAY: Duration = Duration::from_secs(1);
 
-/// Mean time between the first two requests to the peers.
-const FETCH_PERIOD: Duration = Duration::from_millis(250);
+/// Mean delay after the first request to the peers; doubles with each further
+/// request that brings nothing.
+const MIN_FETCH_DELAY: Duration = Duration::from_millis(250);
 
-/// Longest mean time between two requests to the peers.
-const FETCH_PERIOD_LIMIT: Duration = Duration::from_secs(2);
+/// Longest mean delay between two requests to the peers.
+const MAX_FETCH_DELAY: Duration = Duration::from_secs(2);
 
-/// Starts the sources; they end with the set.
+/// Starts the sources; they stop when the returned set is dropped.
 pub(super) fn start<S: kv::Store, P: Peers>(
     actor: &ActorRef<Message>,
     arguments: Arguments<S, P>,
@@ -58,8 +59,8 @@
     let feed = Feed {
         actor: actor.clone(),
         counters,
-        seen: Arc::new(AtomicI64::new(0)),
-        watched: Arc::new(AtomicI64::new(0)),
+        read_revision: Arc::new(AtomicI64::new(0)),
+        watched_revision: Arc::new(AtomicI64::new(0)),
         missed: Arc::new(Notify::new()),
     };
     let mut tasks = JoinSet::new();
@@ -69,16 +70,16 @@
     tasks
 }
 
-/// What the sources share.
+/// State shared by the sources.
 #[derive(Clone)]
 struct Feed {
     actor: ActorRef<Message>,
     counters: Counters,
-    /// Revision of the value that was offered last.
-    seen: Arc<AtomicI64>,
-    /// Revision up to which the watch has reported.
-    watched: Arc<AtomicI64>,
-    /// Tells the watch that it has missed a change.
+    /// Revision of the value that was read last.
+    read_revision: Arc<AtomicI64>,
+    /// Revision up to which the watch has reported changes.
+    watched_revision: Arc<AtomicI64>,
+    /// Notifies the watch that it has missed a change.
     missed: Arc<Notify>,
 }
 
@@ -87,9 +88,10 @@
         let _stopped = self.actor.cast(Message::Offer(record));
     }
 
-    /// Offers what the key holds.
+    /// Offers the key's value to the controller.
     fn offer_entry(&self, entry: &Entry) {
-        self.seen.store(entry.modified.0, Ordering::Relaxed);
+        self.read_revision
+            .store(entry.modified.0, Ordering::Relaxed);
         match serde_json::from_slice(&entry.value) {
             Ok(record) => self.offer(record),
             Err(_) => {
@@ -100,11 +102,11 @@
 }
 
 impl Feed {
-    /// Reads the key, its value only if it has changed since the last read,
-    /// and returns the revision of the store.
+    /// Reads the key and returns the store's revision; fetches the value only
+    /// if it has changed since it was read last.
     async fn read_once<S: kv::Store>(&self, store: &S) -> Option<Revision> {
         self.counters.reads.inc();
-        let seen = Revision(self.seen.load(Ordering::Relaxed));
+        let seen = Revision(self.read_revision.load(Ordering::Relaxed));
         let read = store.transact(unless_modified_at(seen));
         let Ok(Ok(outcome)) = time::timeout(READ_TIMEOUT, read).await else {
             self.counters.failed_reads.inc();
@@ -117,19 +119,19 @@
     }
 }
 
-/// Returns the mean time changed at random by a fifth at the most, so that
-/// the nodes do not call in step.
+/// Returns a random time within a fifth of the mean, so that the nodes do not
+/// call at the same time.
 fn jittered(mean: Duration) -> Duration {
     mean.mul_f64(rand::rng().random_range(0.8..1.2))
 }
 
-/// Reads the key each period, its value only if it has changed.
+/// Reads the key each period; notifies the watch if it has missed a change.
 async fn read<S: kv::Store>(feed: Feed, store: S) {
     loop {
         let start = Instant::now();
-        let seen = Revision(feed.seen.load(Ordering::Relaxed));
-        let late = feed.watched.load(Ordering::Relaxed) < seen.0;
-        if late {
+        let seen = Revision(feed.read_revision.load(Ordering::Relaxed));
+        let is_behind = feed.watched_revision.load(Ordering::Relaxed) < seen.0;
+        if is_behind {
             feed.missed.notify_one();
         }
         let _revision = feed.read_once(&store).await;
@@ -137,8 +139,8 @@
     }
 }
 
-/// Returns the transaction that reads the key unless this revision changed it
-/// last.
+/// Returns the transaction that reads the key's value unless the value was last
+/// modified at this revision.
 fn unless_modified_at(revision: Revision) -> Transaction {
     let key = layout::CONFIGURATION.to_owned();
     Transaction {
@@ -148,65 +150,66 @@
     }
 }
 
-/// Reads the key and watches it from there on; starts anew when the watch ends
-/// or has missed a change.
+/// Reads the key and watches it from the revision that was read; starts over
+/// when the watch ends or has missed a change.
 async fn watch<S: kv::Store>(feed: Feed, store: S) {
     loop {
         if let Some(read) = feed.read_once(&store).await {
-            feed.watched.store(read.0, Ordering::Relaxed);
-            follow(&feed, &store, Revision(read.0 + 1)).await;
+            feed.watched_revision.store(read.0, Ordering::Relaxed);
+            watch_from(&feed, &store, Revision(read.0 + 1)).await;
         }
-        time::sleep(jittered(WATCH_PERIOD)).await;
+        time::sleep(jittered(WATCH_RESTART_DELAY)).await;
     }
 }
 
-/// Watches the key from a revision on until the watch ends or has missed a
-/// change.
-async fn follow<S: kv::Store>(feed: &Feed, store: &S, from: Revision) {
+/// Watches the key from a revision until the watch ends or has missed a change.
+async fn watch_from<S: kv::Store>(feed: &Feed, store: &S, from: Revision) {
     feed.counters.watches.inc();
-    let Ok(running) = store.watch(layout::CONFIGURATION, from).await else {
+    let Ok(subscription) = store.watch(layout::CONFIGURATION, from).await else {
         return;
     };
     tokio::select! {
         biased;
-        () = report(feed, running) => {}
+        () = forward(feed, subscription) => {}
         () = feed.missed.notified() => {
             feed.counters.silent_watches.inc();
         }
     }
 }
 
-/// Offers what a watch reports until it ends.
-async fn report<W: kv::Watch>(feed: &Feed, mut running: W) {
-    while let Ok(changes) = running.next().await {
+/// Offers the values that a watch reports, until it ends.
+async fn forward<W: kv::Watch>(feed: &Feed, mut subscription: W) {
+    while let Ok(changes) = subscription.next().await {
         for change in changes {
             let Change::Put(entry) = change else {
                 continue;
             };
-            feed.watched.fetch_max(entry.modified.0, Ordering::Relaxed);
+            feed.watched_revision
+                .fetch_max(entry.modified.0, Ordering::Relaxed);
             feed.offer_entry(&entry);
         }
     }
 }
 
-/// Asks the peers while one has a higher generation, or none is in force.
+/// Asks the peers for a configuration while a peer has a higher generation or
+/// none is in force here.
 async fn fetch<P: Peers>(feed: Feed, handle: Handle, peers: P) {
-    let mut known = handle.known.subscribe();
-    let mut pause = FETCH_PERIOD;
+    let mut reported = handle.reported.subscribe();
+    let mut delay = MIN_FETCH_DELAY;
     loop {
         let generation = handle.generation();
-        let none = generation == id::Generation::default();
-        if !none && *known.borrow_and_update() <= generation {
-            pause = FETCH_PERIOD;
-            let _closed = known.changed().await;
+        let is_unset = generation == id::Generation::default();
+        if !is_unset && *reported.borrow_and_update() <= generation {
+            delay = MIN_FETCH_DELAY;
+            let _closed = reported.changed().await;
             continue;
         }
         feed.counters.fetches.inc();
         if let Some(record) = peers.configuration(generation).await {
             feed.offer(record);
-            pause = FETCH_PERIOD;
+            delay = MIN_FETCH_DELAY;
         }
-        time::sleep(jittered(pause)).await;
-        pause = (pause * 2).min(FETCH_PERIOD_LIMIT);
+        time::sleep(jittered(delay)).await;
+        delay = (delay * 2).min(MAX_FETCH_DELAY);
     }
 }
