--- a/node/src/membership.rs
+++ b/node/src/membership.rs
@@ -1,7 +1,7 @@
 //! The actor that keeps the membership.
 //!
-//! The decisions are in [`dottereltally_lib::membership`]; this actor hands
-//! it the time, beats and the host list, and performs its effects.
+//! [`dottereltally_lib::membership`] makes the decisions; this actor passes
+//! the time, the beats and the host list to it and performs its effects.
 
 use std::{
     sync::Arc,
@@ -13,7 +13,7 @@
     id,
     membership::{
         Effect, Host, Membership, Settings,
-        beat::{Beat, Member, State as Standing},
+        beat::{Beat, Member, State as MemberState},
     },
 };
 use dottereltally_store::host::Snapshot;
@@ -34,8 +34,8 @@
     peer::{Exchange, Handle as Peers, Service},
 };
 
-/// Time in which fingerprints of crashing requests are gathered before they
-/// are passed on ahead of the next round.
+/// Delay before new fingerprints of crashing requests are sent ahead of the
+/// next round, so that several are sent together.
 const SPREAD_DELAY: Duration = Duration::from_millis(5);
 
 /// Counters of the membership.
@@ -43,11 +43,11 @@
 pub struct Metrics {
     /// Live nodes, this one included.
     pub members: Gauge,
-    /// Rounds of exchanges.
+    /// Gossip rounds that were started.
     pub rounds: Counter,
-    /// Times that the live nodes changed.
+    /// Changes of the set of live nodes.
     pub changes: Counter,
-    /// Fingerprints of crashing requests learnt from peers.
+    /// Fingerprints of crashing requests received from peers.
     pub fingerprints: Counter,
 }
 
@@ -56,11 +56,19 @@
     pub fn register(&self, registry: &mut Registry) {
         let membership = registry.sub_registry_with_prefix("membership");
         membership.register("members", "Live nodes", self.members.clone());
-        membership.register("rounds", "Rounds of exchanges", self.rounds.clone());
-        membership.register("changes", "Changes of the live nodes", self.changes.clone());
+        membership.register(
+            "rounds",
+            "Gossip rounds that were started",
+            self.rounds.clone(),
+        );
+        membership.register(
+            "changes",
+            "Changes of the set of live nodes",
+            self.changes.clone(),
+        );
         membership.register(
             "fingerprints",
-            "Fingerprints of crashing requests learnt from peers",
+            "Fingerprints of crashing requests received from peers",
             self.fingerprints.clone(),
         );
     }
@@ -77,23 +85,23 @@
     pub address: String,
 }
 
-/// What the actor needs.
+/// Arguments that start the actor.
 pub struct Arguments<H> {
     /// This node.
     pub own: Own,
-    /// How the exchanges are paced.
+    /// Timing and size of the exchanges.
     pub settings: Settings,
-    /// The clock that the dispatcher uses.
+    /// The clock, shared with the dispatcher.
     pub clock: Clock,
     /// The host list.
     pub hosts: hosts::Receiver,
-    /// Reaches the peers.
+    /// Calls the peers.
     pub peers: Peers,
-    /// Beats of peers.
+    /// Beats received from peers.
     pub exchanges: mpsc::Receiver<Exchange>,
-    /// Knows the generation in force.
+    /// Provides the generation in force.
     pub service: Arc<dyn Service>,
-    /// Takes the events.
+    /// Receives the events.
     pub dispatcher: H,
     /// Counters.
     pub metrics: Metrics,
@@ -101,44 +109,44 @@
 
 /// Messages of the actor.
 pub enum Message {
-    /// Start a round.
+    /// Start a gossip round.
     Tick,
     /// The host list was read.
     Listed(Arc<Snapshot>),
     /// A peer's beat arrived.
     Requested(Exchange),
-    /// A peer answered.
+    /// A peer answered this node's beat.
     Answered(Beat),
-    /// A peer did not answer.
+    /// A peer did not answer this node's beat.
     Failed(id::Node),
-    /// Pass on a fingerprint of a crashing request.
+    /// Spread a fingerprint of a crashing request while it is valid.
     Quarantine(id::Fingerprint, Duration),
-    /// Pass the updates on ahead of the next round.
+    /// Send the pending updates ahead of the next round.
     Spread,
     /// Tell the peers that this node shuts down.
     Leave(oneshot::Sender<()>),
-    /// Report the live nodes.
+    /// Reply with the live nodes.
     Members(oneshot::Sender<Vec<Member>>),
 }
 
-/// Reaches the membership; clones share it.
+/// Sends messages to the membership actor; clones share it.
 #[derive(Clone, Debug)]
 pub struct Handle {
     actor: ActorRef<Message>,
 }
 
 impl Handle {
-    /// Passes on a fingerprint of a crashing request while it is valid.
+    /// Spreads a fingerprint of a crashing request for as long as it is valid.
     pub fn quarantine(&self, fingerprint: id::Fingerprint, valid: Duration) {
         self.cast(Message::Quarantine(fingerprint, valid));
     }
 
-    /// Tells the peers that this node shuts down, and returns once a few of
-    /// them were sent the updates.
+    /// Tells the peers that this node shuts down; returns once the exchanges
+    /// with a few of them have ended.
     pub async fn leave(&self) {
         let (sender, receiver) = oneshot::channel();
         self.cast(Message::Leave(sender));
-        // A stopped actor has nothing left to say.
+        // If the actor has stopped, there is nothing to wait for.
         let _ = receiver.await;
     }
 
@@ -155,7 +163,7 @@
     }
 
     fn cast(&self, message: Message) {
-        // A stopped actor takes nothing more; the process is ending.
+        // Fails only if the actor has stopped, when the process is ending.
         let _ = self.actor.cast(message);
     }
 }
@@ -184,7 +192,7 @@
     service: Arc<dyn Service>,
     dispatcher: H,
     metrics: Metrics,
-    is_spreading: bool,
+    is_spread_scheduled: bool,
 }
 
 impl<H: dispatcher::Handle> Actor for Controller<H> {
@@ -203,14 +211,14 @@
             address: arguments.own.address,
             incarnation: incarnation(),
             version: 0,
-            state: Standing::Alive,
+            state: MemberState::Alive,
         };
         let period = arguments.settings.period;
         let seed = rand::rng().random();
         let now = arguments.clock.now();
         tokio::spawn(tick(myself.clone(), period));
-        tokio::spawn(watch(myself.clone(), arguments.hosts));
-        tokio::spawn(receive(myself, arguments.exchanges));
+        tokio::spawn(forward_hosts(myself.clone(), arguments.hosts));
+        tokio::spawn(forward_exchanges(myself, arguments.exchanges));
         Ok(State {
             membership: Membership::new(arguments.settings, own, now, seed),
             clock: arguments.clock,
@@ -218,7 +226,7 @@
             service: arguments.service,
             dispatcher: arguments.dispatcher,
             metrics: arguments.metrics,
-            is_spreading: false,
+            is_spread_scheduled: false,
         })
     }
 
@@ -228,13 +236,13 @@
         message: Message,
         state: &mut State<H>,
     ) -> Result<(), ActorProcessingErr> {
-        state.take(&myself, message);
+        state.process(&myself, message);
         Ok(())
     }
 }
 
 impl<H: dispatcher::Handle> State<H> {
-    fn take(&mut self, myself: &ActorRef<Message>, message: Message) {
+    fn process(&mut self, myself: &ActorRef<Message>, message: Message) {
         let now = self.clock.now();
         let generation = self.service.generation();
         self.membership.set_generation(generation);
@@ -243,7 +251,7 @@
                 self.metrics.rounds.inc();
                 self.membership.tick(now)
             }
-            Message::Listed(snapshot) => self.membership.listed(hosts_of(&snapshot)),
+            Message::Listed(snapshot) => self.membership.listed(entry_hosts(&snapshot)),
             Message::Requested(exchange) => {
                 let (answer, effects) = self.membership.request(now, &exchange.beat);
                 // The peer may have stopped waiting.
@@ -254,11 +262,11 @@
             Message::Failed(node) => self.membership.failed(now, &node),
             Message::Quarantine(fingerprint, valid) => {
                 self.membership.quarantine(now, fingerprint, valid);
-                self.spread_soon(myself);
+                self.schedule_spread(myself);
                 Vec::new()
             }
             Message::Spread => {
-                self.is_spreading = false;
+                self.is_spread_scheduled = false;
                 self.membership.spread(now)
             }
             Message::Leave(done) => {
@@ -295,7 +303,7 @@
             Effect::Suspected(fingerprints) => {
                 self.metrics.fingerprints.inc_by(fingerprints.len() as u64);
                 self.dispatcher.tell(Event::Suspected(fingerprints));
-                self.spread_soon(myself);
+                self.schedule_spread(myself);
             }
             Effect::Outdated(node, generation) => {
                 self.peers.prefer(node);
@@ -304,16 +312,17 @@
         }
     }
 
-    /// Passes on the fingerprints that have come together.
-    fn spread_soon(&mut self, myself: &ActorRef<Message>) {
-        if self.is_spreading {
+    /// Schedules one early spread of the fingerprints, unless one is scheduled
+    /// already.
+    fn schedule_spread(&mut self, myself: &ActorRef<Message>) {
+        if self.is_spread_scheduled {
             return;
         }
-        self.is_spreading = true;
+        self.is_spread_scheduled = true;
         let myself = myself.clone();
         tokio::spawn(async move {
             sleep(SPREAD_DELAY).await;
-            // A stopped actor takes nothing more.
+            // Fails only if the actor has stopped.
             let _ = myself.cast(Message::Spread);
         });
     }
@@ -328,11 +337,12 @@
         for member in members {
             live.push((member.node.clone(), member.data_centre.clone()));
         }
-        tracing::info!(members = live.len(), "the live nodes have changed");
+        tracing::info!(members = live.len(), "live nodes changed");
         self.dispatcher.tell(Event::Members(live));
     }
 
-    /// Sends the last updates and signals `done` once they were taken or failed.
+    /// Sends the last updates and signals `done` once they were answered or
+    /// failed.
     fn leave(&mut self, myself: &ActorRef<Message>, done: oneshot::Sender<()>) {
         let mut sent = Vec::new();
         for effect in self.membership.leave(self.clock.now()) {
@@ -361,7 +371,7 @@
 }
 
 /// Returns the entry hosts of a host list.
-fn hosts_of(snapshot: &Snapshot) -> Vec<Host> {
+fn entry_hosts(snapshot: &Snapshot) -> Vec<Host> {
     let mut hosts = Vec::new();
     for entry in &snapshot.entries {
         hosts.push(Host {
@@ -373,15 +383,16 @@
     hosts
 }
 
-/// Returns a number that is higher in a later process of this node. A peer
-/// that remembers a higher one makes the membership go above it, should the
-/// wall clock have been set back.
+/// Returns a number that is higher in every later process of this node. Should
+/// the wall clock have been set back, the membership raises the number above
+/// the one that a peer remembers.
 fn incarnation() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let millis = since.unwrap_or_default().as_millis();
     u64::try_from(millis).unwrap_or(u64::MAX)
 }
 
+/// Exchanges beats with a peer and reports the result to the actor.
 async fn exchange(
     peers: Peers,
     actor: ActorRef<Message>,
@@ -393,7 +404,7 @@
         Ok(answer) if answer.sender.node == node => Message::Answered(answer),
         _ => Message::Failed(node),
     };
-    // A stopped actor takes nothing more.
+    // Fails only if the actor has stopped.
     let _ = actor.cast(message);
 }
 
@@ -408,8 +419,8 @@
     }
 }
 
-/// Passes the host list on until the actor stops.
-async fn watch(actor: ActorRef<Message>, mut hosts: hosts::Receiver) {
+/// Forwards each host list to the actor until it stops.
+async fn forward_hosts(actor: ActorRef<Message>, mut hosts: hosts::Receiver) {
     loop {
         let snapshot = hosts.borrow_and_update().clone();
         if let Some(snapshot) = snapshot
@@ -423,8 +434,8 @@
     }
 }
 
-/// Passes the beats of peers on until the actor stops.
-async fn receive(actor: ActorRef<Message>, mut exchanges: mpsc::Receiver<Exchange>) {
+/// Forwards the beats of peers to the actor until it stops.
+async fn forward_exchanges(actor: ActorRef<Message>, mut exchanges: mpsc::Receiver<Exchange>) {
     while let Some(exchange) = exchanges.recv().await {
         if actor.cast(Message::Requested(exchange)).is_err() {
             return;
