--- a/node/src/hosts.rs
+++ b/node/src/hosts.rs
@@ -10,12 +10,12 @@
     time::{sleep, timeout},
 };
 
-/// Time between two reads, before jitter.
-const INTERVAL: Duration = Duration::from_secs(1);
-/// Time for one read.
+/// Mean time between two reads.
+const READ_INTERVAL: Duration = Duration::from_secs(1);
+/// Time limit for one read.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Reads the last host list that could be had and waits for the next.
+/// Reads the last host list that was read successfully and waits for changes.
 pub type Receiver = watch::Receiver<Option<Arc<Snapshot>>>;
 
 /// Counters of the reads of the host list.
@@ -42,8 +42,8 @@
 
 /// Polls the host list until every receiver is dropped.
 ///
-/// The value is none until a read has succeeded; an outage keeps the last
-/// list. Receivers are notified of changes only.
+/// The value is none until a read has succeeded; failed reads keep the last
+/// list. Receivers are notified only of changes.
 pub fn spawn(list: impl List, metrics: Metrics) -> Receiver {
     let (sender, receiver) = watch::channel(None);
     tokio::spawn(poll(list, metrics, sender));
@@ -51,33 +51,36 @@
 }
 
 async fn poll(list: impl List, metrics: Metrics, sender: watch::Sender<Option<Arc<Snapshot>>>) {
-    let mut reachable = true;
+    let mut is_readable = true;
     while !sender.is_closed() {
         metrics.reads.inc();
         let result = timeout(READ_TIMEOUT, list.read()).await;
         match result {
             Ok(Ok(snapshot)) => {
-                if !reachable {
+                if !is_readable {
                     tracing::info!("the host list is readable again");
                 }
-                reachable = true;
-                sender.send_if_modified(|current| replace(current, snapshot));
+                is_readable = true;
+                sender.send_if_modified(|current| replace_if_changed(current, snapshot));
             }
             failure => {
                 metrics.failures.inc();
-                if reachable {
-                    tracing::warn!(?failure, "the host list can't be read; the last one stays");
+                if is_readable {
+                    tracing::warn!(
+                        ?failure,
+                        "the host list can't be read; keeping the last one"
+                    );
                 }
-                reachable = false;
+                is_readable = false;
             }
         }
         let jitter = rand::rng().random_range(0.8..1.2);
-        sleep(INTERVAL.mul_f64(jitter)).await;
+        sleep(READ_INTERVAL.mul_f64(jitter)).await;
     }
 }
 
 /// Replaces the list if it has changed, and returns whether it did.
-fn replace(current: &mut Option<Arc<Snapshot>>, snapshot: Snapshot) -> bool {
+fn replace_if_changed(current: &mut Option<Arc<Snapshot>>, snapshot: Snapshot) -> bool {
     if current.as_deref() == Some(&snapshot) {
         return false;
     }
--- a/node/src/observer.rs
+++ b/node/src/observer.rs
@@ -1,4 +1,4 @@
-//! Watches the endpoints: the host list, their load and their caches.
+//! Observes the endpoints of the host list: their load and their caches.
 
 mod cache;
 mod load;
@@ -22,12 +22,12 @@
 pub use self::load::probe;
 use crate::{dispatcher, hosts};
 
-/// Least time between two polls of one endpoint.
-const POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// Polls that one node starts per second at the most.
-const POLLS_PER_SECOND: f64 = 24.0;
-/// Polls that run at a time.
-const MAX_POLLS: usize = 16;
+/// Shortest mean time between two polls of one endpoint.
+const MIN_POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of polls per second that one node starts at the most.
+const MAX_POLLS_PER_SECOND: f64 = 24.0;
+/// Number of polls that run concurrently.
+const MAX_CONCURRENT_POLLS: usize = 16;
 
 /// Counters of the observer.
 #[derive(Clone, Debug, Default)]
@@ -36,7 +36,7 @@
     pub polls: Counter,
     /// Polls that failed.
     pub failures: Counter,
-    /// Bytes of load pages, without HTTP heads.
+    /// Bytes of load pages, without HTTP headers.
     pub bytes: Counter,
     /// Cache events received.
     pub events: Counter,
@@ -58,7 +58,7 @@
         );
         observer.register(
             "load_page_bytes",
-            "Bytes of load pages, without HTTP heads",
+            "Bytes of load pages, without HTTP headers",
             self.bytes.clone(),
         );
         observer.register("cache_events", "Cache events received", self.events.clone());
@@ -71,11 +71,12 @@
     }
 }
 
-/// Starts to watch the endpoints, until the host list ends.
+/// Starts a task that observes the endpoints until the host list's channel is
+/// closed.
 ///
 /// The dispatcher gets [`Event::Listed`] for every change of the host list,
 /// [`Event::Reported`] for every load page that was read, and
-/// [`Event::Cached`] for the cache events of the endpoints of
+/// [`Event::Cached`] for the cache events of the live endpoints in
 /// `data_centre`.
 pub fn spawn<H: dispatcher::Handle>(
     data_centre: id::DataCentre,
@@ -87,15 +88,15 @@
         data_centre,
         dispatcher,
         metrics,
-        polls: Arc::new(Semaphore::new(MAX_POLLS)),
-        interval: watch::Sender::new(POLL_INTERVAL),
-        watched: BTreeMap::new(),
+        poll_permits: Arc::new(Semaphore::new(MAX_CONCURRENT_POLLS)),
+        interval: watch::Sender::new(MIN_POLL_INTERVAL),
+        observed: BTreeMap::new(),
     };
     tokio::spawn(observer.run(hosts))
 }
 
-/// One endpoint that is watched; dropping it stops that.
-struct Watched {
+/// An endpoint that is observed until this is dropped.
+struct Observed {
     record: Record,
     _tasks: JoinSet<()>,
 }
@@ -104,9 +105,9 @@
     data_centre: id::DataCentre,
     dispatcher: H,
     metrics: Metrics,
-    polls: Arc<Semaphore>,
+    poll_permits: Arc<Semaphore>,
     interval: watch::Sender<Duration>,
-    watched: BTreeMap<id::Endpoint, Watched>,
+    observed: BTreeMap<id::Endpoint, Observed>,
 }
 
 impl<H: dispatcher::Handle> Observer<H> {
@@ -114,7 +115,7 @@
         loop {
             let snapshot = hosts.borrow_and_update().clone();
             if let Some(snapshot) = snapshot {
-                self.listed(&snapshot);
+                self.update(&snapshot);
             }
             if hosts.changed().await.is_err() {
                 return;
@@ -122,30 +123,30 @@
         }
     }
 
-    fn listed(&mut self, snapshot: &Snapshot) {
+    fn update(&mut self, snapshot: &Snapshot) {
         self.dispatcher
             .tell(Event::Listed(snapshot.endpoints.clone()));
-        // The receivers are the polls; there may be none.
+        // Never fails, also if no poll task subscribes.
         self.interval
             .send_replace(interval(snapshot.endpoints.len()));
-        let mut watched = BTreeMap::new();
+        let mut observed = BTreeMap::new();
         for record in &snapshot.endpoints {
-            let kept = self.watched.remove(&record.id);
-            let kept = kept.filter(|kept| kept.record.address == record.address);
-            let entry = kept.unwrap_or_else(|| self.watch(record));
-            watched.insert(record.id.clone(), entry);
+            let existing = self.observed.remove(&record.id);
+            let existing = existing.filter(|existing| existing.record.address == record.address);
+            let entry = existing.unwrap_or_else(|| self.observe(record));
+            observed.insert(record.id.clone(), entry);
         }
-        self.watched = watched;
+        self.observed = observed;
     }
 
-    fn watch(&self, record: &Record) -> Watched {
+    fn observe(&self, record: &Record) -> Observed {
         let mut tasks = JoinSet::new();
         tasks.spawn(poll(
             record.clone(),
             self.interval.subscribe(),
             self.dispatcher.clone(),
             self.metrics.clone(),
-            self.polls.clone(),
+            self.poll_permits.clone(),
         ));
         if record.data_centre == self.data_centre && record.standing == Standing::Live {
             tasks.spawn(cache::follow(
@@ -154,17 +155,18 @@
                 self.metrics.clone(),
             ));
         }
-        Watched {
+        Observed {
             record: record.clone(),
             _tasks: tasks,
         }
     }
 }
 
-/// Returns the time between two polls of one of `endpoints` endpoints.
+/// Returns the mean time between two polls of the same endpoint, given the
+/// number of endpoints.
 fn interval(endpoints: usize) -> Duration {
     let endpoints = f64::from(u32::try_from(endpoints).unwrap_or(u32::MAX));
-    POLL_INTERVAL.max(Duration::from_secs_f64(endpoints / POLLS_PER_SECOND))
+    MIN_POLL_INTERVAL.max(Duration::from_secs_f64(endpoints / MAX_POLLS_PER_SECOND))
 }
 
 /// Polls the load page of one endpoint until the task is dropped.
@@ -173,14 +175,14 @@
     interval: watch::Receiver<Duration>,
     dispatcher: impl dispatcher::Handle,
     metrics: Metrics,
-    polls: Arc<Semaphore>,
+    poll_permits: Arc<Semaphore>,
 ) {
     let mut connection = None;
     loop {
         let jitter = rand::rng().random_range(0.8..1.2);
         let pause = interval.borrow().mul_f64(jitter);
         sleep(pause).await;
-        let Ok(_permit) = polls.acquire().await else {
+        let Ok(_permit) = poll_permits.acquire().await else {
             return;
         };
         metrics.polls.inc();
--- a/node/src/observer/cache.rs
+++ b/node/src/observer/cache.rs
@@ -1,4 +1,4 @@
-//! Follows the cache events of endpoints.
+//! Reads the streams of cache events of endpoints.
 
 use std::time::Duration;
 
@@ -20,22 +20,22 @@
     observer::{Metrics, load},
 };
 
-/// Path of the cache events, from the first that the endpoint keeps.
+/// Path of the cache events, starting at the oldest that the endpoint keeps.
 const PATH: &str = "/cache/events?from=0";
-/// First pause before a stream is opened again; doubles with each failure.
-const MIN_PAUSE: Duration = Duration::from_millis(500);
-/// Longest pause before a stream is opened again.
-const MAX_PAUSE: Duration = Duration::from_secs(30);
-/// Pause for an endpoint that has no cache events.
-const ABSENT_PAUSE: Duration = Duration::from_mins(1);
-/// Time for the head of the answer.
+/// Delay before a stream is reopened; doubles with each failure to open it.
+const MIN_REOPEN_DELAY: Duration = Duration::from_millis(500);
+/// Longest delay before a stream is reopened.
+const MAX_REOPEN_DELAY: Duration = Duration::from_secs(30);
+/// Delay for an endpoint that offers no cache events.
+const ABSENT_DELAY: Duration = Duration::from_mins(1);
+/// Time limit for the head of the response.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time without a byte after which a stream is opened anew.
-const INACTIVITY: Duration = Duration::from_mins(1);
-/// Bytes of the longest event.
-const MAX_EVENT: usize = 4096;
+/// Time without a byte after which a stream is reopened.
+const INACTIVITY_TIMEOUT: Duration = Duration::from_mins(1);
+/// Longest event, bytes.
+const MAX_EVENT_BYTES: usize = 4096;
 
-/// Data of one event on the wire.
+/// The `data` field of one event on the wire.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
 enum Data {
@@ -44,26 +44,26 @@
     Cleared(bool),
 }
 
-/// Why an event can't be used.
+/// Why an event is invalid.
 #[derive(Debug, thiserror::Error)]
-enum Unusable {
-    /// Its prefix is not a hash.
+enum Error {
+    /// Its prefix is not a hexadecimal hash.
     #[error("the prefix is not hexadecimal: {0}; check the endpoint's version")]
     Prefix(#[from] std::num::ParseIntError),
-    /// It says `false`.
+    /// Its `cleared` field is `false`.
     #[error("`cleared` must be true; check the endpoint's version")]
     Cleared,
 }
 
 impl TryFrom<Data> for Change {
-    type Error = Unusable;
+    type Error = Error;
 
     fn try_from(data: Data) -> Result<Self, Self::Error> {
         match data {
             Data::Stored(prefix) => Ok(Self::Stored(parse_prefix(&prefix)?)),
             Data::Removed(prefix) => Ok(Self::Removed(parse_prefix(&prefix)?)),
             Data::Cleared(true) => Ok(Self::Cleared),
-            Data::Cleared(false) => Err(Unusable::Cleared),
+            Data::Cleared(false) => Err(Error::Cleared),
         }
     }
 }
@@ -74,31 +74,35 @@
 
 /// How a stream ended.
 enum End {
-    /// The endpoint has no cache events.
+    /// The endpoint offers no cache events.
     Absent,
-    /// It could not be opened.
+    /// The stream could not be opened.
     Failed,
-    /// It was open and broke off, fell silent or became unreadable.
+    /// The stream was open, but broke off, was inactive for too long or sent an
+    /// overlong event.
     Broken,
 }
 
-/// Numbers the events of one endpoint across its streams.
+/// Assigns sequence numbers to the events of one endpoint across its streams.
 ///
-/// The endpoint's own numbers start again when it restarts, and a stream that
-/// broke off does not tell whether it did. Each stream is therefore read from
-/// the first event that the endpoint keeps, behind a synthetic
-/// [`Change::Cleared`]; the numbers passed on never go back, and a gap in the
-/// endpoint's numbers is a gap in them.
+/// The endpoint's own sequence starts over when the endpoint restarts, and a
+/// stream that broke off does not show whether that happened. Each stream is
+/// therefore read from the oldest event that the endpoint keeps, preceded by a
+/// synthetic [`Change::Cleared`]. The assigned numbers never decrease, and a
+/// gap in the endpoint's numbers appears as a gap in them.
 #[derive(Debug, Default)]
 struct Numbering {
+    /// Number assigned last.
     last: u64,
-    number: Option<u64>,
+    /// Endpoint's number of the last event in the current stream.
+    received: Option<u64>,
 }
 
 impl Numbering {
-    /// Starts a stream; returns the event to be passed on first, if any.
+    /// Starts a new stream; returns the synthetic event that precedes it, none
+    /// for the first stream.
     fn restart(&mut self) -> Option<Cache> {
-        self.number = None;
+        self.received = None;
         if self.last == 0 {
             return None;
         }
@@ -109,15 +113,15 @@
         })
     }
 
-    /// Numbers an event; none if it comes late. The second value tells
-    /// whether events are missing before it.
+    /// Assigns a number to an event; none if the event is not newer than the
+    /// last one. The second value tells whether events are missing before it.
     fn number(&mut self, event: &Cache) -> Option<(Cache, bool)> {
-        let step = match self.number {
+        let step = match self.received {
             None => 1,
-            Some(number) if event.sequence > number => event.sequence - number,
+            Some(received) if event.sequence > received => event.sequence - received,
             Some(_) => return None,
         };
-        self.number = Some(event.sequence);
+        self.received = Some(event.sequence);
         self.last = self.last.saturating_add(step);
         let cache = Cache {
             sequence: self.last,
@@ -127,27 +131,27 @@
     }
 }
 
-/// Follows the events of one endpoint until the task is dropped.
+/// Reads the cache events of one endpoint, stream after stream; never returns.
 pub(super) async fn follow(record: Record, dispatcher: impl dispatcher::Handle, metrics: Metrics) {
     let mut numbering = Numbering::default();
-    let mut pause = MIN_PAUSE;
+    let mut reopen_delay = MIN_REOPEN_DELAY;
     loop {
         let end = read(&record, &mut numbering, &dispatcher, &metrics).await;
-        let wait = match end {
-            End::Absent => ABSENT_PAUSE,
-            End::Broken => MIN_PAUSE,
-            End::Failed => pause,
+        let delay = match end {
+            End::Absent => ABSENT_DELAY,
+            End::Broken => MIN_REOPEN_DELAY,
+            End::Failed => reopen_delay,
         };
-        pause = match end {
-            End::Failed => (pause * 2).min(MAX_PAUSE),
-            End::Absent | End::Broken => MIN_PAUSE,
+        reopen_delay = match end {
+            End::Failed => (reopen_delay * 2).min(MAX_REOPEN_DELAY),
+            End::Absent | End::Broken => MIN_REOPEN_DELAY,
         };
         let jitter = rand::rng().random_range(0.5..1.0);
-        sleep(wait.mul_f64(jitter)).await;
+        sleep(delay.mul_f64(jitter)).await;
     }
 }
 
-/// Reads one stream to its end.
+/// Reads one stream until it ends.
 async fn read(
     record: &Record,
     numbering: &mut Numbering,
@@ -164,7 +168,7 @@
     }
     let mut buffer = BytesMut::new();
     loop {
-        let Ok(Some(Ok(frame))) = timeout(INACTIVITY, body.frame()).await else {
+        let Ok(Some(Ok(frame))) = timeout(INACTIVITY_TIMEOUT, body.frame()).await else {
             return End::Broken;
         };
         let Ok(data) = frame.into_data() else {
@@ -180,7 +184,7 @@
             metrics.gaps.inc_by(u64::from(gap));
             dispatcher.tell(Event::Cached(record.id.clone(), cache));
         }
-        if buffer.len() > MAX_EVENT {
+        if buffer.len() > MAX_EVENT_BYTES {
             return End::Broken;
         }
     }
@@ -200,14 +204,14 @@
     }
 }
 
-/// Takes one whole event off the front of the buffer.
+/// Removes one complete event from the front of the buffer.
 fn split_event(buffer: &mut BytesMut) -> Option<Bytes> {
     let end = buffer.windows(2).position(|pair| pair == b"\n\n")?;
     let event = buffer.split_to(end + 2);
     Some(event.freeze())
 }
 
-/// Reads one event; none for a comment or an event of another kind.
+/// Parses one event; none for a comment or an event of another kind.
 fn parse(event: &[u8]) -> Option<Cache> {
     let text = std::str::from_utf8(event).ok()?;
     let mut sequence = None;
--- a/node/src/observer/load.rs
+++ b/node/src/observer/load.rs
@@ -13,39 +13,41 @@
 
 /// Path of the load page.
 const PATH: &str = "/load";
-/// Time for a connection to be accepted.
+/// Time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for one poll, connecting included.
+/// Time limit for one poll, including the connection.
 const POLL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes of the largest load page.
-const MAX_BYTES: usize = 64 * 1024;
+/// Largest load page, bytes.
+const MAX_PAGE_BYTES: usize = 64 * 1024;
 
 /// Why a load page could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// No connection.
+    /// The connection could not be opened.
     #[error(
         "the endpoint can't be reached: {0}; check that it runs and its address in the host list"
     )]
     Unreachable(#[from] std::io::Error),
-    /// No answer in time.
-    #[error("the load page did not come in time; check the endpoint's load")]
+    /// The page did not arrive in time.
+    #[error("the load page did not arrive in time; check the endpoint's load")]
     Timeout,
-    /// HTTP failed.
+    /// The HTTP exchange failed.
     #[error("the load page can't be read: {0}; check the endpoint's log")]
     Http(#[from] hyper::Error),
-    /// The page does not end or is too large.
-    #[error("the load page breaks off or exceeds {MAX_BYTES} bytes; check the endpoint's version")]
+    /// The page broke off or is too large.
+    #[error(
+        "the load page breaks off or exceeds {MAX_PAGE_BYTES} bytes; check the endpoint's version"
+    )]
     Body,
-    /// Another status than 200.
+    /// The status is not 200.
     #[error("the load page has status {0}; check the endpoint's version")]
     Status(StatusCode),
-    /// The page is not what docs/design/interfaces.md says.
+    /// The page does not have the format in `docs/design/interfaces.md`.
     #[error("the load page is malformed: {0}; check the endpoint's version")]
     Malformed(#[from] serde_json::Error),
 }
 
-/// A connection that is kept for the next poll.
+/// A connection that is reused by the next poll.
 pub type Connection = SendRequest<Empty<Bytes>>;
 
 /// A load page on the wire.
@@ -80,12 +82,12 @@
 }
 
 /// Reads the load page, on the given connection if it is still open; returns
-/// the load and the bytes of the page.
+/// the load and the page's size in bytes.
 ///
 /// # Errors
 ///
-/// Fails if the page does not come whole, in time and well-formed; the
-/// connection must not be used again then.
+/// Fails if the page does not arrive completely and in time or is malformed;
+/// the connection must not be reused then.
 pub async fn read(
     address: &str,
     connection: &mut Option<Connection>,
@@ -97,7 +99,7 @@
     Ok((load.into(), page.len()))
 }
 
-/// Returns whether an endpoint answers on a new connection.
+/// Returns whether an endpoint's load page can be read on a new connection.
 pub async fn probe(address: &str) -> bool {
     read(address, &mut None).await.is_ok()
 }
@@ -113,7 +115,7 @@
     if response.status() != StatusCode::OK {
         return Err(Error::Status(response.status()));
     }
-    let body = Limited::new(response.into_body(), MAX_BYTES);
+    let body = Limited::new(response.into_body(), MAX_PAGE_BYTES);
     let page = body.collect().await.map_err(|_| Error::Body)?.to_bytes();
     *connection = Some(sender);
     Ok(page)
@@ -130,7 +132,7 @@
         .map_err(|_| Error::Timeout)??;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     tokio::spawn(async move {
-        // The request in flight reports why the connection ended.
+        // The request in progress receives the error.
         let _ = connection.await;
     });
     Ok(sender)
