--- a/node/src/peer.rs
+++ b/node/src/peer.rs
@@ -1,4 +1,4 @@
-//! What the nodes ask of each other.
+//! The RPC protocol between nodes: client, server and wire format.
 
 mod connection;
 mod handle;
@@ -19,55 +19,55 @@
     server::Exchange,
 };
 
-/// A whole answer that was kept to be given again.
+/// A complete response that is stored to be replayed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
     /// HTTP status.
     pub status: u16,
-    /// Its content type, empty for none.
+    /// Content type, empty if there is none.
     pub content_type: String,
-    /// Its body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
-/// What became of the attempt that holds a claim.
+/// Outcome of the attempt that holds a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// The node does not know the attempt.
     Unknown,
     /// The attempt has not ended.
     Running,
-    /// The attempt has ended with this answer.
+    /// The attempt has ended with this response.
     Done(Response),
-    /// The attempt was given up before anything was handed over.
+    /// The attempt was abandoned before dispatch.
     NotRun,
-    /// The attempt may have run and its answer is not known.
+    /// The attempt may have run, but its response is unknown.
     Lost,
 }
 
-/// Why a peer could not be asked.
+/// Why a call to a peer failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// The node is not known or not live.
+    /// The node is unknown or not live.
     #[error("node {0} is not a live peer; see `dottereltallyctl status`")]
     NotLive(id::Node),
-    /// The connection failed or fell silent.
+    /// The call failed or was not answered in time.
     #[error("node {node} does not answer: {cause}; check the link between the nodes")]
     Silent {
-        /// The node.
+        /// Node that was called.
         node: id::Node,
-        /// What the connection said.
+        /// Error of the call.
         cause: String,
     },
 }
 
-/// Asks peers.
+/// Calls peers.
 pub trait Peers: Clone + Send + Sync + 'static {
-    /// Asks the holder of a claim for the answer of its attempt.
+    /// Asks the node that holds a claim for the outcome of its attempt.
     ///
     /// # Errors
     ///
-    /// Fails if the node can't be asked.
+    /// Fails if the node does not answer.
     fn answer(
         &self,
         node: &id::Node,
@@ -75,30 +75,33 @@
         token: &str,
     ) -> impl Future<Output = Result<Answer, Error>> + Send;
 
-    /// Asks live peers for a configuration above this generation.
+    /// Asks live peers for a configuration with a generation higher than
+    /// `above`.
     fn configuration(
         &self,
         above: id::Generation,
     ) -> impl Future<Output = Option<layout::Configuration>> + Send;
 
-    /// Sends a message of the admission protocol without waiting.
+    /// Queues a message of the admission protocol without waiting for its
+    /// delivery.
     fn send(&self, node: &id::Node, message: event::Message);
 }
 
-/// Answers peers.
+/// Answers the calls of peers.
 pub trait Service: Send + Sync + 'static {
-    /// Returns what became of an attempt of this node.
+    /// Returns the outcome of an attempt of this node.
     fn answer(&self, claim: &str, token: &str) -> Answer;
 
-    /// Returns the configuration in force if it is above this generation.
+    /// Returns the configuration in force if its generation is higher than
+    /// `above`.
     fn configuration(&self, above: id::Generation) -> Option<layout::Configuration>;
 
     /// Returns the generation in force.
     fn generation(&self) -> id::Generation;
 
-    /// Learns that a peer has a higher generation in force.
+    /// Records that a peer has a higher generation in force.
     fn outdated(&self, generation: id::Generation);
 
-    /// Takes a message of the admission protocol.
+    /// Handles a message of the admission protocol.
     fn admission(&self, sender: id::Node, message: event::Message);
 }
--- a/node/src/peer/connection.rs
+++ b/node/src/peer/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a peer.
+//! A client connection to one peer.
 
 use std::{cell::Cell, time::Duration};
 
@@ -14,19 +14,19 @@
 
 use crate::peer::{Answer, metrics::Metrics, stream, wire};
 
-/// Time for a connection to be accepted.
+/// Time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// One call of a peer.
+/// A call to a peer.
 #[derive(Clone, Debug)]
 pub enum Call {
     /// Exchanges beats.
     Exchange(Beat),
-    /// Asks for a configuration above a generation.
+    /// Asks for a configuration with a generation higher than this one.
     Configuration(id::Generation),
-    /// Asks what became of an attempt.
+    /// Asks for the outcome of an attempt.
     Answer {
-        /// Key of the claim.
+        /// Key of the attempt's claim.
         claim: String,
         /// Identifies the attempt.
         token: String,
@@ -41,7 +41,7 @@
 }
 
 impl Call {
-    /// Returns the time for the reply.
+    /// Returns the time limit for the reply.
     #[must_use]
     pub fn timeout(&self) -> Duration {
         match self {
@@ -52,24 +52,24 @@
     }
 }
 
-/// What a peer replied.
+/// Reply of a peer.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// Its beat.
+    /// The peer's beat.
     Beat(Beat),
-    /// Its configuration, if it is above the generation.
+    /// The peer's configuration, if its generation is higher than the one asked.
     Configuration(Option<layout::Configuration>),
-    /// What became of the attempt.
+    /// Outcome of the attempt.
     Answer(Answer),
-    /// The message was taken.
-    Taken,
+    /// The message was accepted.
+    Accepted,
 }
 
-/// One open connection to a peer; dropping it closes it.
+/// An open connection to a peer; dropping it closes it.
 pub struct Connection {
     client: peer::Client,
-    driver: JoinHandle<()>,
-    used: Cell<Instant>,
+    rpc_task: JoinHandle<()>,
+    last_used: Cell<Instant>,
     metrics: Metrics,
 }
 
@@ -86,33 +86,33 @@
         let network = stream::network(stream, Side::Client, metrics)?;
         let mut system = RpcSystem::new(Box::new(network), None);
         let client = system.bootstrap(Side::Server);
-        let driver = spawn_local(async move {
-            // The calls in flight report why the connection ended.
+        let rpc_task = spawn_local(async move {
+            // The calls in progress receive the error.
             let _ = system.await;
         });
         metrics.opened.inc();
         metrics.open.inc();
         Ok(Self {
             client,
-            driver,
-            used: Cell::new(Instant::now()),
+            rpc_task,
+            last_used: Cell::new(Instant::now()),
             metrics: metrics.clone(),
         })
     }
 
-    /// Returns the time since the last call.
+    /// Returns the time since the start of the last call.
     #[must_use]
     pub fn idle(&self) -> Duration {
-        self.used.get().elapsed()
+        self.last_used.get().elapsed()
     }
 
-    /// Makes a call and waits for the reply for as long as the call allows.
+    /// Makes a call and waits for its reply within the call's time limit.
     ///
     /// # Errors
     ///
     /// Fails if the connection breaks or the reply does not come in time.
     pub async fn call(&self, call: &Call) -> capnp::Result<Reply> {
-        self.used.set(Instant::now());
+        self.last_used.set(Instant::now());
         timeout(call.timeout(), self.send(call))
             .await
             .map_err(|_| capnp::Error::overloaded("no reply in time".to_owned()))?
@@ -147,7 +147,7 @@
                 request.get().set_sender(sender.as_str());
                 wire::write_admission(message, request.get().init_message());
                 request.send().promise.await?;
-                Ok(Reply::Taken)
+                Ok(Reply::Accepted)
             }
         }
     }
@@ -155,7 +155,7 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.driver.abort();
+        self.rpc_task.abort();
         self.metrics.open.dec();
     }
 }
--- a/node/src/peer/handle.rs
+++ b/node/src/peer/handle.rs
@@ -1,8 +1,8 @@
-//! How the rest of the daemon reaches the peers.
+//! The daemon's client for calling peers.
 //!
-//! The RPC library is bound to one thread, so the connections live on a
-//! thread of their own with a current-thread runtime; handles talk to it by
-//! channels.
+//! The types of the RPC library are not `Send`, so all connections live on a
+//! dedicated thread with a current-thread runtime; handles send commands to it
+//! through channels.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -29,18 +29,18 @@
     server::{self, Exchange, Shared},
 };
 
-/// Calls that may wait for the thread.
-const MAX_CALLS: usize = 1024;
-/// Beats of peers that may wait for the membership.
-const MAX_EXCHANGES: usize = 256;
-/// Admission messages that may wait for one peer.
-const MAX_OUTBOX: usize = 256;
-/// Peers asked for a configuration before giving up.
-const MAX_ASKED: usize = 4;
-/// Time between two looks for idle connections.
-const IDLE_INTERVAL: Duration = Duration::from_secs(5);
+/// Number of calls that may be queued for the thread.
+const MAX_QUEUED_CALLS: usize = 1024;
+/// Number of peers' beats that may be queued for the membership.
+const MAX_QUEUED_EXCHANGES: usize = 256;
+/// Number of admission messages that may be queued for one peer.
+const MAX_OUTBOX_MESSAGES: usize = 256;
+/// Number of peers that are asked for a configuration.
+const MAX_CANDIDATES: usize = 4;
+/// Time between two checks for idle connections.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What the thread is told.
+/// Commands to the thread.
 enum Command {
     /// Make a call.
     Call {
@@ -48,21 +48,22 @@
         call: Call,
         reply: oneshot::Sender<capnp::Result<Reply>>,
     },
-    /// Deliver what waits for a node.
+    /// Deliver the queued admission messages of a node.
     Deliver(id::Node),
 }
 
-/// Nodes and where they are reached, as the membership last said.
+/// Addresses of the nodes, as last updated by the membership.
 #[derive(Debug, Default)]
 struct Directory {
     addresses: HashMap<id::Node, String>,
+    /// Nodes that have reported a higher generation, the latest first.
     ahead: Vec<id::Node>,
 }
 
-/// Admission messages by the node that they wait for.
+/// Queued admission messages by destination.
 type Outboxes = HashMap<id::Node, VecDeque<event::Message>>;
 
-/// What handles and the thread share.
+/// State shared by the handles and the thread.
 #[derive(Debug)]
 struct State {
     node: id::Node,
@@ -71,7 +72,7 @@
     metrics: Metrics,
 }
 
-/// Reaches the peers; clones share the connections.
+/// Calls the peers; clones share the connections.
 ///
 /// The thread ends once every handle is dropped.
 #[derive(Clone, Debug)]
@@ -83,8 +84,8 @@
 
 /// Starts the thread that serves and calls peers.
 ///
-/// Beats of peers arrive at the returned receiver, which the membership
-/// takes. The handle knows no peer until [`Handle::update`] is called.
+/// The returned receiver yields the beats of peers and belongs to the
+/// membership. The handle knows no peer until [`Handle::update`] is called.
 ///
 /// # Errors
 ///
@@ -103,9 +104,9 @@
         let _guard = runtime.enter();
         TcpListener::from_std(listener)?
     };
-    let (calls, call_receiver) = mpsc::channel(MAX_CALLS);
+    let (calls, call_receiver) = mpsc::channel(MAX_QUEUED_CALLS);
     let (deliveries, delivery_receiver) = mpsc::unbounded_channel();
-    let (exchanges, exchange_receiver) = mpsc::channel(MAX_EXCHANGES);
+    let (exchanges, exchange_receiver) = mpsc::channel(MAX_QUEUED_EXCHANGES);
     let state = Arc::new(State {
         node,
         directory: Mutex::default(),
@@ -117,13 +118,13 @@
         exchanges,
         metrics,
     };
-    let thread_state = state.clone();
+    let worker_state = state.clone();
     thread::Builder::new()
         .name("peers".to_owned())
         .spawn(move || {
             let worker = Worker {
-                pool: Pool::new(thread_state.metrics.clone()),
-                state: thread_state,
+                pool: Pool::new(worker_state.metrics.clone()),
+                state: worker_state,
             };
             let local = LocalSet::new();
             local.spawn_local(server::accept(listener, shared));
@@ -138,12 +139,12 @@
     Ok((handle, exchange_receiver))
 }
 
-/// Locks a mutex; a panic elsewhere leaves its content usable.
+/// Locks a mutex, also if it is poisoned: no panic leaves its content invalid.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The part of the handle that lives on the thread.
+/// Executes the handles' commands on the thread.
 #[derive(Clone)]
 struct Worker {
     pool: Pool,
@@ -151,13 +152,13 @@
 }
 
 impl Worker {
-    /// Serves the handles until all of them are dropped.
+    /// Executes commands until all handles are dropped.
     async fn run(
         self,
         mut calls: mpsc::Receiver<Command>,
         mut deliveries: mpsc::UnboundedReceiver<Command>,
     ) {
-        let mut ticks = interval(IDLE_INTERVAL);
+        let mut ticks = interval(IDLE_CHECK_INTERVAL);
         loop {
             let command = tokio::select! {
                 command = calls.recv() => command,
@@ -176,7 +177,7 @@
                     reply,
                 }) => {
                     spawn_local(async move {
-                        // The caller may have stopped waiting.
+                        // Fails only if the caller has stopped waiting.
                         let _ = reply.send(worker.pool.call(&address, &call).await);
                     });
                 }
@@ -187,9 +188,9 @@
         }
     }
 
-    /// Delivers what waits for a node, oldest first, until nothing waits.
+    /// Delivers a node's queued messages, oldest first, until none is left.
     async fn deliver(&self, node: id::Node) {
-        while let Some(message) = self.next(&node) {
+        while let Some(message) = self.pop_message(&node) {
             let address = lock(&self.state.directory).addresses.get(&node).cloned();
             let Some(address) = address else {
                 self.state.metrics.lost.inc();
@@ -205,8 +206,8 @@
         }
     }
 
-    /// Takes the oldest message for a node; an empty outbox goes away.
-    fn next(&self, node: &id::Node) -> Option<event::Message> {
+    /// Removes the oldest message for a node, or the outbox if it is empty.
+    fn pop_message(&self, node: &id::Node) -> Option<event::Message> {
         let mut outboxes = lock(&self.state.outboxes);
         let message = outboxes.get_mut(node)?.pop_front();
         if message.is_none() {
@@ -217,19 +218,19 @@
 }
 
 impl Handle {
-    /// Replaces what is known of where the peers are.
+    /// Replaces the addresses of the peers.
     pub fn update(&self, addresses: Vec<(id::Node, String)>) {
         let mut directory = lock(&self.state.directory);
         directory.addresses = addresses.into_iter().collect();
     }
 
-    /// Remembers that a peer has a higher generation in force, so that it is
-    /// asked first.
+    /// Records that a peer has a higher generation in force, so that it is asked
+    /// first for its configuration.
     pub fn prefer(&self, node: id::Node) {
         let mut directory = lock(&self.state.directory);
         directory.ahead.retain(|other| *other != node);
         directory.ahead.insert(0, node);
-        directory.ahead.truncate(MAX_ASKED);
+        directory.ahead.truncate(MAX_CANDIDATES);
     }
 
     /// Exchanges beats with the peer at an address.
@@ -245,11 +246,11 @@
     ) -> Result<Beat, Error> {
         match self.call(node, address, Call::Exchange(beat)).await? {
             Reply::Beat(beat) => Ok(beat),
-            _ => Err(mismatch(node)),
+            _ => Err(wrong_type(node)),
         }
     }
 
-    /// Makes a call on the thread.
+    /// Makes a call through the thread.
     async fn call(&self, node: &id::Node, address: String, call: Call) -> Result<Reply, Error> {
         let silent = |cause: &str| Error::Silent {
             node: node.clone(),
@@ -263,7 +264,7 @@
         };
         self.calls
             .try_send(command)
-            .map_err(|_| silent("too many calls wait"))?;
+            .map_err(|_| silent("too many calls are queued"))?;
         let result = result.await.map_err(|_| silent("the node is stopping"))?;
         result.map_err(|error| silent(&error.to_string()))
     }
@@ -274,8 +275,8 @@
         address.ok_or_else(|| Error::NotLive(node.clone()))
     }
 
-    /// Returns whom to ask for a configuration: those that have said that
-    /// they are ahead, then others.
+    /// Returns the peers to ask for a configuration: first those that have
+    /// reported a higher generation, then others.
     fn candidates(&self) -> Vec<(id::Node, String)> {
         let directory = lock(&self.state.directory);
         let mut candidates = Vec::new();
@@ -285,7 +286,7 @@
             }
         }
         for (node, address) in &directory.addresses {
-            if candidates.len() >= MAX_ASKED {
+            if candidates.len() >= MAX_CANDIDATES {
                 break;
             }
             if !directory.ahead.contains(node) {
@@ -296,11 +297,11 @@
     }
 }
 
-/// Returns the error for a reply of the wrong kind.
-fn mismatch(node: &id::Node) -> Error {
+/// Returns the error for a reply of the wrong type.
+fn wrong_type(node: &id::Node) -> Error {
     Error::Silent {
         node: node.clone(),
-        cause: "the reply is of another kind".to_owned(),
+        cause: "the reply has the wrong type".to_owned(),
     }
 }
 
@@ -313,7 +314,7 @@
         };
         match self.call(node, address, call).await? {
             Reply::Answer(answer) => Ok(answer),
-            _ => Err(mismatch(node)),
+            _ => Err(wrong_type(node)),
         }
     }
 
@@ -333,7 +334,7 @@
     fn send(&self, node: &id::Node, message: event::Message) {
         let mut outboxes = lock(&self.state.outboxes);
         if let Some(outbox) = outboxes.get_mut(node) {
-            if outbox.len() >= MAX_OUTBOX {
+            if outbox.len() >= MAX_OUTBOX_MESSAGES {
                 outbox.pop_front();
                 self.state.metrics.dropped.inc();
             }
@@ -341,7 +342,7 @@
             return;
         }
         outboxes.insert(node.clone(), VecDeque::from([message]));
-        // The thread only ends after the last handle.
+        // The thread ends only after the last handle is dropped.
         let _ = self.deliveries.send(Command::Deliver(node.clone()));
     }
 }
--- a/node/src/peer/metrics.rs
+++ b/node/src/peer/metrics.rs
@@ -14,7 +14,7 @@
     pub failures: Counter,
     /// Connections opened to peers.
     pub opened: Counter,
-    /// Connections given up because a call on them failed or fell silent.
+    /// Connections discarded because a call on them failed or timed out.
     pub replaced: Counter,
     /// Connections that peers opened.
     pub accepted: Counter,
@@ -22,9 +22,9 @@
     pub refused: Counter,
     /// Connections to and from peers that are open.
     pub open: Gauge,
-    /// Messages of peers that could not be understood.
+    /// Malformed messages from peers.
     pub malformed: Counter,
-    /// Admission messages dropped because the peer did not keep up.
+    /// Admission messages dropped because the queue for the peer was full.
     pub dropped: Counter,
     /// Admission messages whose delivery failed.
     pub lost: Counter,
@@ -47,7 +47,7 @@
         );
         peer.register(
             "connections_replaced",
-            "Connections given up because a call on them failed",
+            "Connections discarded because a call on them failed or timed out",
             self.replaced.clone(),
         );
         peer.register(
@@ -67,12 +67,12 @@
         );
         peer.register(
             "malformed",
-            "Messages of peers that could not be understood",
+            "Malformed messages from peers",
             self.malformed.clone(),
         );
         peer.register(
             "admission_dropped",
-            "Admission messages dropped because the peer did not keep up",
+            "Admission messages dropped because the queue for the peer was full",
             self.dropped.clone(),
         );
         peer.register(
--- a/node/src/peer/pool.rs
+++ b/node/src/peer/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to peers, one per peer in use.
+//! The pool of client connections, one per peer.
 
 use std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration};
 
@@ -9,10 +9,11 @@
     metrics::Metrics,
 };
 
-/// Time without a call after which a connection is closed.
+/// Time without a call after which a connection to a peer is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The connection to one peer; it is locked while one is opened.
+/// The connection to one peer, if open; locked while a connection is opened, so
+/// that concurrent calls share it.
 type Slot = Rc<Mutex<Option<Rc<Connection>>>>;
 
 /// The connections to peers by address.
@@ -32,26 +33,26 @@
         }
     }
 
-    /// Makes a call that may be made twice: if the open connection fails or
-    /// is silent, the call is made again on a new one.
+    /// Makes an idempotent call: if it fails or times out on a reused
+    /// connection, it is repeated on a new one.
     ///
     /// # Errors
     ///
     /// Fails if the call fails on a new connection.
     pub async fn call(&self, address: &str, call: &Call) -> capnp::Result<Reply> {
         self.metrics.calls.inc();
-        let result = self.retry(address, call).await;
+        let result = self.call_with_retry(address, call).await;
         if result.is_err() {
             self.metrics.failures.inc();
         }
         result
     }
 
-    /// Makes a call that must not be made twice.
+    /// Makes a call that must not be repeated.
     ///
     /// # Errors
     ///
-    /// Fails if the call fails; it may have been taken all the same.
+    /// Fails if the call fails; the peer may still have handled it.
     pub async fn call_once(&self, address: &str, call: &Call) -> capnp::Result<Reply> {
         self.metrics.calls.inc();
         let slot = self.slot(address);
@@ -64,10 +65,10 @@
         result
     }
 
-    /// Closes the connections that have been idle for long.
+    /// Closes the connections that have been idle for longer than the limit.
     pub fn close_idle(&self) {
         self.slots.borrow_mut().retain(|_, slot| {
-            // A slot that is in use elsewhere is not idle.
+            // A call in progress holds a reference to its slot.
             if Rc::strong_count(slot) > 1 {
                 return true;
             }
@@ -80,7 +81,7 @@
         });
     }
 
-    async fn retry(&self, address: &str, call: &Call) -> capnp::Result<Reply> {
+    async fn call_with_retry(&self, address: &str, call: &Call) -> capnp::Result<Reply> {
         let slot = self.slot(address);
         let (connection, reused) = self.connection(address, &slot).await?;
         let error = match connection.call(call).await {
@@ -104,29 +105,29 @@
         slots.entry(address.to_owned()).or_default().clone()
     }
 
-    /// Returns the open connection or a new one, and whether it was open.
+    /// Returns the open connection or else a new one, and whether it is reused.
     async fn connection(
         &self,
         address: &str,
         slot: &Slot,
     ) -> capnp::Result<(Rc<Connection>, bool)> {
-        let mut held = slot.lock().await;
-        if let Some(connection) = held.as_ref() {
+        let mut current = slot.lock().await;
+        if let Some(connection) = current.as_ref() {
             return Ok((connection.clone(), true));
         }
         let connection = Rc::new(Connection::open(address, &self.metrics).await?);
-        *held = Some(connection.clone());
+        *current = Some(connection.clone());
         Ok((connection, false))
     }
 
-    /// Gives a connection up unless it has been replaced already.
+    /// Discards a connection unless it has been replaced already.
     async fn discard(&self, slot: &Slot, connection: &Rc<Connection>) {
-        let mut held = slot.lock().await;
-        if held
+        let mut current = slot.lock().await;
+        if current
             .as_ref()
             .is_some_and(|open| Rc::ptr_eq(open, connection))
         {
-            *held = None;
+            *current = None;
             self.metrics.replaced.inc();
         }
     }
--- a/node/src/peer/server.rs
+++ b/node/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! Answers the calls of peers.
+//! The RPC server that answers the calls of peers.
 
 use std::{cell::Cell, rc::Rc, sync::Arc, time::Duration};
 
@@ -15,71 +15,71 @@
 
 use crate::peer::{Service, metrics::Metrics, stream, wire};
 
-/// Connections of peers that are served at a time.
+/// Number of peers' connections that are served concurrently.
 const MAX_CONNECTIONS: usize = 1024;
 /// Time without a call after which a peer's connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
-/// Time between two looks at whether a connection is idle.
-const IDLE_INTERVAL: Duration = Duration::from_secs(10);
-/// Time for the membership to answer a beat.
+/// Time between two checks whether a connection is idle.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(10);
+/// Time limit for the membership to answer a beat.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause after a failed accept, such as for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a failed accept, for example for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A peer's beat that waits for the answer.
+/// A peer's beat and the channel for its answer.
 #[derive(Debug)]
 pub struct Exchange {
-    /// What the peer sent.
+    /// The peer's beat.
     pub beat: Beat,
-    /// Takes the answer.
+    /// Receives the answer.
     pub reply: oneshot::Sender<Beat>,
 }
 
-/// What the connections of peers share.
+/// State shared by the connections of peers.
 #[derive(Clone)]
 pub struct Shared {
     /// Answers the calls.
     pub service: Arc<dyn Service>,
-    /// Takes the beats.
+    /// Receives the beats.
     pub exchanges: mpsc::Sender<Exchange>,
     /// Counters.
     pub metrics: Metrics,
 }
 
-/// Accepts the connections of peers until the task is dropped.
+/// Accepts the connections of peers; never returns.
 pub async fn accept(listener: TcpListener, shared: Shared) {
-    let live = Rc::new(());
+    let connection_count = Rc::new(());
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if Rc::strong_count(&live) > MAX_CONNECTIONS {
+        if Rc::strong_count(&connection_count) > MAX_CONNECTIONS {
             shared.metrics.refused.inc();
             continue;
         }
         shared.metrics.accepted.inc();
         shared.metrics.open.inc();
         let shared = shared.clone();
-        let live = live.clone();
+        let connection_count = connection_count.clone();
         spawn_local(async move {
             serve(stream, shared.clone()).await;
             shared.metrics.open.dec();
-            drop(live);
+            drop(connection_count);
         });
     }
 }
 
-/// Serves one connection until it ends or is idle for long.
+/// Serves one connection until it ends or has been idle for too long.
 async fn serve(stream: TcpStream, shared: Shared) {
     let metrics = shared.metrics.clone();
     let Ok(network) = stream::network(stream, Side::Server, &metrics) else {
         return;
     };
-    let used = Rc::new(Cell::new(Instant::now()));
+    let last_used = Rc::new(Cell::new(Instant::now()));
     let server = Server {
         shared,
-        used: used.clone(),
+        last_used: last_used.clone(),
     };
     let client: peer::Client = capnp_rpc::new_client(server);
     let system = RpcSystem::new(Box::new(network), Some(client.client));
@@ -89,14 +89,14 @@
                 metrics.malformed.inc();
             }
         }
-        () = wait_idle(&used) => {}
+        () = wait_idle(&last_used) => {}
     }
 }
 
-/// Waits until a connection has been idle for long.
-async fn wait_idle(used: &Cell<Instant>) {
-    let mut ticks = interval(IDLE_INTERVAL);
-    while used.get().elapsed() < IDLE_TIMEOUT {
+/// Waits until a connection has been idle for too long.
+async fn wait_idle(last_used: &Cell<Instant>) {
+    let mut ticks = interval(IDLE_CHECK_INTERVAL);
+    while last_used.get().elapsed() < IDLE_TIMEOUT {
         ticks.tick().await;
     }
 }
@@ -104,19 +104,20 @@
 /// Serves the calls of one connection.
 struct Server {
     shared: Shared,
-    used: Rc<Cell<Instant>>,
+    last_used: Rc<Cell<Instant>>,
 }
 
 impl Server {
-    /// Counts a message that could not be understood.
-    fn understood<T>(&self, result: capnp::Result<T>) -> capnp::Result<T> {
+    /// Counts the message as malformed if reading it failed.
+    fn count_malformed<T>(&self, result: capnp::Result<T>) -> capnp::Result<T> {
         if result.is_err() {
             self.shared.metrics.malformed.inc();
         }
         result
     }
 
-    async fn pass(&self, beat: Beat) -> capnp::Result<Beat> {
+    /// Passes a beat to the membership and returns its answer.
+    async fn exchange_beat(&self, beat: Beat) -> capnp::Result<Beat> {
         let (reply, answer) = oneshot::channel();
         let exchange = Exchange { beat, reply };
         self.shared
@@ -136,12 +137,12 @@
         params: peer::ExchangeParams,
         mut results: peer::ExchangeResults,
     ) -> Result<(), Error> {
-        self.used.set(Instant::now());
+        self.last_used.set(Instant::now());
         let beat = params
             .get()
             .and_then(peer::exchange_params::Reader::get_beat);
-        let beat = self.understood(beat.and_then(wire::read_beat))?;
-        let answer = self.pass(beat).await?;
+        let beat = self.count_malformed(beat.and_then(wire::read_beat))?;
+        let answer = self.exchange_beat(beat).await?;
         wire::write_beat(&answer, results.get().init_beat());
         Ok(())
     }
@@ -151,7 +152,7 @@
         params: peer::ConfigurationParams,
         mut results: peer::ConfigurationResults,
     ) -> Result<(), Error> {
-        self.used.set(Instant::now());
+        self.last_used.set(Instant::now());
         let above = id::Generation(params.get()?.get_above());
         if let Some(record) = self.shared.service.configuration(above) {
             wire::write_configuration(&record, results.get().init_record());
@@ -164,7 +165,7 @@
         params: peer::AnswerParams,
         mut results: peer::AnswerResults,
     ) -> Result<(), Error> {
-        self.used.set(Instant::now());
+        self.last_used.set(Instant::now());
         let params = params.get()?;
         let claim = params.get_claim()?.to_str()?;
         let token = params.get_token()?.to_str()?;
@@ -178,11 +179,11 @@
         params: peer::AdmissionParams,
         _: peer::AdmissionResults,
     ) -> Result<(), Error> {
-        self.used.set(Instant::now());
+        self.last_used.set(Instant::now());
         let params = params.get()?;
         let sender = params.get_sender()?.to_str()?;
         let message = params.get_message().and_then(wire::read_admission);
-        let message = self.understood(message)?;
+        let message = self.count_malformed(message)?;
         self.shared.service.admission(sender.into(), message);
         Ok(())
     }
--- a/node/src/peer/stream.rs
+++ b/node/src/peer/stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream whose bytes are counted.
+//! The RPC transport over a TCP stream whose bytes are counted.
 
 use std::{
     io,
@@ -15,9 +15,9 @@
 
 use crate::peer::metrics::Metrics;
 
-/// Words of the largest message that is read, 16 MiB.
+/// Largest message that is read, in words of 8 bytes: 16 MiB.
 const MAX_MESSAGE_WORDS: usize = 2 * 1024 * 1024;
-/// Nesting of the deepest message that is read.
+/// Deepest nesting of a message that is read.
 const MAX_NESTING: i32 = 32;
 
 /// A TCP stream whose bytes are counted.
@@ -59,7 +59,7 @@
     }
 }
 
-/// Lays the RPC protocol over a stream.
+/// Builds the RPC transport over a stream.
 ///
 /// # Errors
 ///
--- a/node/src/peer/wire.rs
+++ b/node/src/peer/wire.rs
@@ -1,4 +1,4 @@
-//! Converts between the messages of the schema and the types of the daemon.
+//! Converts between the schema's messages and the daemon's types.
 
 use std::time::Duration;
 
@@ -13,44 +13,46 @@
 
 use crate::peer::{Answer, Response};
 
-/// Members that one beat may name.
+/// Number of members in one beat.
 const MAX_MEMBERS: u32 = 4096;
-/// Fingerprints that one beat may name.
+/// Number of fingerprints in one beat.
 const MAX_SUSPECTS: u32 = 4096;
-/// Entries that one admission message may hold.
-const MAX_ADMISSION: u32 = 4096;
-/// Bytes of a name or an address.
-const MAX_NAME: usize = 256;
+/// Number of entries in one admission message.
+const MAX_ADMISSION_ENTRIES: u32 = 4096;
+/// Longest name or address, bytes.
+const MAX_NAME_BYTES: usize = 256;
 
-/// Reads a name.
-fn name(text: capnp::text::Reader<'_>) -> capnp::Result<String> {
-    if text.len() > MAX_NAME {
-        return Err(Error::failed(format!("a name exceeds {MAX_NAME} bytes")));
+/// Reads a name or an address.
+fn read_name(text: capnp::text::Reader<'_>) -> capnp::Result<String> {
+    if text.len() > MAX_NAME_BYTES {
+        return Err(Error::failed(format!(
+            "a name exceeds {MAX_NAME_BYTES} bytes"
+        )));
     }
     Ok(text.to_str()?.to_owned())
 }
 
 /// Checks the length of a list.
-fn check(len: u32, limit: u32) -> capnp::Result<()> {
+fn check_len(len: u32, limit: u32) -> capnp::Result<()> {
     if len > limit {
         return Err(Error::failed(format!("a list exceeds {limit} entries")));
     }
     Ok(())
 }
 
-/// Returns the number of entries of a list to be written.
-fn length<T>(entries: &[T]) -> u32 {
+/// Returns the length of a list to be written, saturating.
+fn list_len<T>(entries: &[T]) -> u32 {
     u32::try_from(entries.len()).unwrap_or(u32::MAX)
 }
 
-/// Returns whole milliseconds, saturating.
-fn millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+/// Converts to whole milliseconds, saturating.
+fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Returns whole milliseconds of a short span, saturating.
-fn short_millis(span: Duration) -> u32 {
-    u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
+/// Converts a short duration to whole milliseconds, saturating.
+fn short_millis(duration: Duration) -> u32 {
+    u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
 
 /// Reads a beat.
@@ -60,9 +62,9 @@
 /// Fails if the message is malformed or a bound is exceeded.
 pub fn read_beat(reader: peer_capnp::beat::Reader<'_>) -> capnp::Result<Beat> {
     let sender = Member {
-        node: name(reader.get_node()?)?.into(),
-        data_centre: name(reader.get_data_centre()?)?.into(),
-        address: name(reader.get_address()?)?,
+        node: read_name(reader.get_node()?)?.into(),
+        data_centre: read_name(reader.get_data_centre()?)?.into(),
+        address: read_name(reader.get_address()?)?,
         incarnation: reader.get_incarnation(),
         version: reader.get_version(),
         state: if reader.get_leaving() {
@@ -72,13 +74,13 @@
         },
     };
     let list = reader.get_members()?;
-    check(list.len(), MAX_MEMBERS)?;
+    check_len(list.len(), MAX_MEMBERS)?;
     let mut members = Vec::new();
     for member in list {
         members.push(read_member(member)?);
     }
     let list = reader.get_suspects()?;
-    check(list.len(), MAX_SUSPECTS)?;
+    check_len(list.len(), MAX_SUSPECTS)?;
     let mut suspects = Vec::new();
     for suspect in list {
         let valid = Duration::from_millis(suspect.get_valid_ms());
@@ -105,9 +107,9 @@
         }
     };
     Ok(Member {
-        node: name(reader.get_node()?)?.into(),
-        data_centre: name(reader.get_data_centre()?)?.into(),
-        address: name(reader.get_address()?)?,
+        node: read_name(reader.get_node()?)?.into(),
+        data_centre: read_name(reader.get_data_centre()?)?.into(),
+        address: read_name(reader.get_address()?)?,
         incarnation: reader.get_incarnation(),
         version: reader.get_version(),
         state,
@@ -126,13 +128,13 @@
     builder.set_digest(beat.digest);
     builder.set_whole(beat.whole);
     if !beat.members.is_empty() {
-        let mut list = builder.reborrow().init_members(length(&beat.members));
+        let mut list = builder.reborrow().init_members(list_len(&beat.members));
         for (index, member) in (0..).zip(&beat.members) {
             write_member(member, list.reborrow().get(index));
         }
     }
     if !beat.suspects.is_empty() {
-        let mut list = builder.init_suspects(length(&beat.suspects));
+        let mut list = builder.init_suspects(list_len(&beat.suspects));
         for (index, (fingerprint, valid)) in (0..).zip(&beat.suspects) {
             let mut suspect = list.reborrow().get(index);
             suspect.set_fingerprint(fingerprint.0);
@@ -187,7 +189,7 @@
     builder.set_token(&record.token);
 }
 
-/// Reads what became of an attempt.
+/// Reads the outcome of an attempt.
 ///
 /// # Errors
 ///
@@ -211,7 +213,7 @@
     })
 }
 
-/// Writes what became of an attempt.
+/// Writes the outcome of an attempt.
 pub fn write_answer(answer: &Answer, mut builder: peer_capnp::answer::Builder<'_>) {
     match answer {
         Answer::Unknown => builder.set_unknown(()),
@@ -245,11 +247,11 @@
 fn read_demands(
     list: struct_list::Reader<'_, peer_capnp::demand::Owned>,
 ) -> capnp::Result<Vec<event::Demand>> {
-    check(list.len(), MAX_ADMISSION)?;
+    check_len(list.len(), MAX_ADMISSION_ENTRIES)?;
     let mut demands = Vec::new();
     for demand in list {
         demands.push(event::Demand {
-            service: name(demand.get_service()?)?.into(),
+            service: read_name(demand.get_service()?)?.into(),
             tier: id::Tier(demand.get_tier()),
             tokens: size::Tokens(demand.get_tokens()),
             requests: demand.get_requests(),
@@ -261,11 +263,11 @@
 fn read_grants(
     list: struct_list::Reader<'_, peer_capnp::grant::Owned>,
 ) -> capnp::Result<Vec<event::Grant>> {
-    check(list.len(), MAX_ADMISSION)?;
+    check_len(list.len(), MAX_ADMISSION_ENTRIES)?;
     let mut grants = Vec::new();
     for grant in list {
         grants.push(event::Grant {
-            endpoint: name(grant.get_endpoint()?)?.into(),
+            endpoint: read_name(grant.get_endpoint()?)?.into(),
             tier: id::Tier(grant.get_tier()),
             tokens: size::Tokens(grant.get_tokens()),
             valid: Duration::from_millis(grant.get_valid_ms().into()),
@@ -278,13 +280,13 @@
 pub fn write_admission(message: &event::Message, builder: peer_capnp::admission::Builder<'_>) {
     match message {
         event::Message::Demand(demands) => {
-            write_demands(demands, builder.init_demand(length(demands)));
+            write_demands(demands, builder.init_demand(list_len(demands)));
         }
         event::Message::Granted(grants) => {
-            write_grants(grants, builder.init_granted(length(grants)));
+            write_grants(grants, builder.init_granted(list_len(grants)));
         }
         event::Message::Returned(grants) => {
-            write_grants(grants, builder.init_returned(length(grants)));
+            write_grants(grants, builder.init_returned(list_len(grants)));
         }
     }
 }
