--- a/node/src/settings.rs
+++ b/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one process.
+//! The settings of a node.
 
 use std::{fmt, fs, path::Path, time::Duration};
 
@@ -8,11 +8,11 @@
 mod check;
 pub mod wire;
 
-/// Reads a settings file.
+/// Reads and parses a settings file.
 ///
 /// # Errors
 ///
-/// Fails with every fault of the file, each with its remedy.
+/// Fails with a message for each fault of the file and how to correct it.
 pub fn read<T, F: fmt::Display>(
     path: &Path,
     parse: impl FnOnce(&str) -> Result<T, Vec<F>>,
@@ -26,18 +26,18 @@
     parse(&content).map_err(|faults| faults.iter().map(F::to_string).collect())
 }
 
-/// Checked settings of a node.
+/// Validated settings of a node.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The node's name.
     pub node: id::Node,
     /// Its data centre.
     pub data_centre: id::DataCentre,
-    /// Where it listens.
+    /// Addresses on which it listens.
     pub listen: Listen,
-    /// Where the platform is.
+    /// Addresses of the platform.
     pub platform: Platform,
-    /// Limits towards callers.
+    /// Limits on requests.
     pub limits: Limits,
     /// How it stops.
     pub shutdown: Shutdown,
@@ -45,7 +45,7 @@
     pub log: Log,
 }
 
-/// Addresses to listen on; port 0 takes a free one.
+/// Addresses to listen on; port 0 chooses a free port.
 #[derive(Clone, Debug)]
 pub struct Listen {
     /// For callers.
@@ -59,51 +59,51 @@
 /// Addresses of the platform.
 #[derive(Clone, Debug)]
 pub struct Platform {
-    /// Key-value service, `ip:port` each.
+    /// Members of the key-value service, `ip:port` each.
     pub kv: Vec<String>,
-    /// Host list, `http://ip:port/path`.
+    /// URL of the host list, `http://ip:port/path`.
     pub hosts: String,
-    /// Time limit of one call.
+    /// Time limit of one call to the platform.
     pub timeout: Duration,
 }
 
-/// Limits towards callers.
+/// Limits on requests and their answers.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Size of a request's head, bytes.
+    /// Largest head of a request, bytes.
     pub head: usize,
-    /// Size of a request's body, bytes.
+    /// Largest body of a request, bytes.
     pub body: usize,
-    /// Time for a request's head to arrive.
+    /// Time limit for a request's head to arrive.
     pub head_timeout: Duration,
-    /// Time for a request's body to arrive.
+    /// Time limit for a request's body to arrive.
     pub body_timeout: Duration,
-    /// Time without a byte after which an endpoint's answer counts as stalled.
+    /// Time without progress after which an answer is given up as stalled.
     pub inactivity: Duration,
 }
 
 /// How the node stops.
 #[derive(Clone, Debug)]
 pub struct Shutdown {
-    /// Time that it goes on serving new requests while not ready.
+    /// Time during which the node is not ready but still serves new requests.
     pub notice: Duration,
-    /// Time for running requests to end.
+    /// Time limit for running requests to end.
     pub grace: Duration,
 }
 
 /// What the node logs.
 #[derive(Clone, Copy, Debug)]
 pub struct Log {
-    /// Form of a line.
+    /// Format of a line.
     pub format: Format,
-    /// Least severe level that is logged.
+    /// Least severe level to log.
     pub level: tracing::Level,
 }
 
-/// Form of a log line.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, Display, FromStr, PartialEq, Eq)]
 pub enum Format {
-    /// A JSON object a line.
+    /// One JSON object per line.
     #[display("json")]
     Json,
     /// Plain text.
--- a/node/src/settings/check.rs
+++ b/node/src/settings/check.rs
@@ -1,21 +1,21 @@
-//! Checks single values of the settings.
+//! Validates and converts single values of the settings.
 
 use std::{fmt, net::SocketAddr, time::Duration};
 
 use bytesize::ByteSize;
 use serde_saphyr::Spanned;
 
-/// A value as written, if it is there.
+/// A value as written in the file, if present.
 pub(super) type Scalar = Option<Spanned<String>>;
 
-/// One fault of the settings.
+/// A fault in the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// File that it is in.
+    /// File that contains it.
     pub file: String,
-    /// Line, where it is known.
+    /// Line, if known.
     pub line: Option<u64>,
-    /// What is wrong and what to do about it.
+    /// What is wrong and how to correct it.
     pub remedy: String,
 }
 
@@ -31,9 +31,9 @@
 
 /// Collects faults while the values are converted.
 pub(super) struct Check {
-    /// File that is checked.
+    /// File to which the faults belong.
     pub(super) file: String,
-    /// Faults that were found.
+    /// Faults found so far.
     pub(super) faults: Vec<Fault>,
 }
 
@@ -51,8 +51,8 @@
             self.fault(None, format!("`{field}` is missing; write `{field}: NAME`"));
             return String::new();
         };
-        let usable = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-        if scalar.value.is_empty() || !scalar.value.chars().all(usable) {
+        let is_valid = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+        if scalar.value.is_empty() || !scalar.value.chars().all(is_valid) {
             self.fault(
                 Some(line_of(&scalar)),
                 format!("`{field}` is not a name; use letters, digits, `-`, `_` and `.`"),
@@ -70,11 +70,11 @@
             return String::new();
         };
         if source.value.parse::<SocketAddr>().is_err() {
-            let place = source.place();
+            let origin = source.origin();
             self.fault(
                 source.line,
                 format!(
-                    "`{field}`{place} is `{}`, which is no address; write it as `IP:PORT`",
+                    "`{field}`{origin} is `{}`, which is not an address; write it as `IP:PORT`",
                     source.value
                 ),
             );
@@ -91,17 +91,17 @@
             return String::new();
         };
         let url = source.value.parse::<http::Uri>().ok();
-        let usable = url.is_some_and(|url| {
+        let is_valid = url.is_some_and(|url| {
             let address = url.authority().map(http::uri::Authority::as_str);
             url.scheme_str() == Some("http")
                 && address.is_some_and(|address| address.parse::<SocketAddr>().is_ok())
         });
-        if !usable {
-            let place = source.place();
+        if !is_valid {
+            let origin = source.origin();
             self.fault(
                 source.line,
                 format!(
-                    "`{field}`{place} is `{}`; write it as `http://IP:PORT/PATH`",
+                    "`{field}`{origin} is `{}`; write it as `http://IP:PORT/PATH`",
                     source.value
                 ),
             );
@@ -151,7 +151,7 @@
     }
 }
 
-/// A value and where it came from.
+/// A value and its origin.
 pub(super) struct Source {
     value: String,
     line: Option<u64>,
@@ -175,7 +175,7 @@
         }
     }
 
-    fn place(&self) -> &'static str {
+    fn origin(&self) -> &'static str {
         if self.from_environment {
             " (from the environment)"
         } else {
@@ -184,7 +184,7 @@
     }
 }
 
-/// Returns the variable of the environment or else the value of the file.
+/// Returns the environment variable, if set, or else the value of the file.
 pub(super) fn overridden(scalar: Scalar, variable: Option<String>) -> Option<Source> {
     match variable {
         Some(value) => Some(Source::environment(value)),
@@ -192,7 +192,7 @@
     }
 }
 
-/// Returns the line that a value stands on.
+/// Returns the line of a value.
 pub(super) fn line_of(scalar: &Spanned<String>) -> u64 {
     scalar.referenced.line()
 }
--- a/node/src/settings/wire.rs
+++ b/node/src/settings/wire.rs
@@ -1,4 +1,4 @@
-//! The settings as written in YAML, and their check as a whole.
+//! The settings as written in YAML, and their validation.
 
 use std::path::Path;
 
@@ -29,10 +29,10 @@
     ("log", &["format", "level"]),
 ];
 
-/// Fields that stand at the top beside the sections.
-const TOP: [&str; 2] = ["node", "data_centre"];
+/// Top-level fields that are not sections.
+const TOP_LEVEL_FIELDS: [&str; 2] = ["node", "data_centre"];
 
-/// Smallest head limit that the HTTP library can keep, bytes.
+/// Smallest limit on a request's head that the HTTP library supports, bytes.
 const MIN_HEAD_BYTES: usize = 8 * 1024;
 
 #[derive(Debug, Default, Deserialize)]
@@ -87,14 +87,15 @@
     level: Scalar,
 }
 
-/// Reads one variable of the environment.
+/// Looks up an environment variable.
 pub type Environment<'a> = &'a dyn Fn(&str) -> Option<String>;
 
-/// Checks a settings file as a whole.
+/// Parses and validates a settings file.
 ///
 /// # Errors
 ///
-/// Fails with every fault that was found, in the order of the file's sections.
+/// Fails with all faults that were found: unknown fields first, then the others
+/// in the order of the sections.
 pub fn parse(
     path: &Path,
     content: &str,
@@ -126,25 +127,26 @@
     }
 }
 
-/// Returns the message without the excerpt that the library adds.
+/// Returns the first line of the message, without the library's excerpt of the
+/// file.
 fn first_line(error: &serde_saphyr::Error) -> String {
     let message = error.without_snippet().to_string();
     message.lines().next().unwrap_or_default().to_owned()
 }
 
 impl Check {
-    /// Records every field that the settings do not have; a document that is
-    /// not YAML is left to the reader of the values.
+    /// Records a fault for every unknown field. A document that is not YAML is
+    /// skipped, as deserialization reports it.
     fn unknown_fields(&mut self, content: &str) {
         let Ok(document) = Node::parse(content) else {
             return;
         };
         let mut reader = Reader::default();
-        let mut known = TOP.to_vec();
+        let mut known = TOP_LEVEL_FIELDS.to_vec();
         known.extend(SECTIONS.iter().map(|(name, _)| *name));
         let top = reader.fields(&document, "", &known);
         for (name, fields) in SECTIONS {
-            // A section of another kind is told by the reader of the values.
+            // Deserialization reports a section that is not a mapping.
             if let Some(section) = reader.optional(&top, name)
                 && matches!(section.item, Item::Map(_))
             {
