--- a/node/src/clock.rs
+++ b/node/src/clock.rs
@@ -1,11 +1,11 @@
-//! The monotonic clock that the decision core is driven by.
+//! The monotonic clock that provides the scheduler's time.
 
 use dottereltally_lib::time::Instant;
 use tokio::time;
 
 /// A monotonic clock with its origin at the start of the process.
 ///
-/// It follows the runtime's clock, which a test can pause.
+/// It is based on the runtime's clock, which tests can pause.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: time::Instant,
--- a/node/src/controllers.rs
+++ b/node/src/controllers.rs
@@ -1,4 +1,4 @@
-//! Starts the controllers of a node's state.
+//! Starts the controllers, which keep a node's state.
 
 use std::{
     net::SocketAddr,
@@ -29,26 +29,26 @@
     settings::Settings,
 };
 
-/// Keeper of the claims over the real platform and peers.
+/// The claim keeper over the real key-value service and peers.
 pub type Keeper = claim::Keeper<etcd::Store, peer::Handle>;
 
-/// Controllers of the node's state.
+/// The running controllers and the handles to them.
 pub struct Controllers {
     /// Addresses of the endpoints.
     pub book: Book,
-    /// The decision core.
+    /// Sends events to the scheduler.
     pub dispatcher: Sender,
-    /// Ends if the dispatcher stops.
-    pub dispatching: JoinHandle<()>,
-    /// The claims.
+    /// Finishes when the dispatcher stops.
+    pub dispatcher_task: JoinHandle<()>,
+    /// Acquires claims.
     pub keeper: Keeper,
-    /// The live nodes.
+    /// Knows the live nodes.
     pub membership: membership::Handle,
     /// The rules in force.
     pub rules: rules::Receiver,
 }
 
-/// The parts that the controllers are started from.
+/// The parts on which the controllers are built.
 pub struct Base {
     settings: Settings,
     clock: Clock,
@@ -62,7 +62,7 @@
 }
 
 impl Base {
-    /// Starts the peers and builds what needs no task of its own.
+    /// Starts the thread of the peers and builds the parts without a task.
     ///
     /// # Errors
     ///
@@ -106,27 +106,27 @@
     /// unusable.
     pub async fn start(base: Base, registry: &mut Registry) -> eyre::Result<Self> {
         let book = Book::default();
-        let joined = Arc::new(OnceLock::new());
+        let membership_cell = Arc::new(OnceLock::new());
         let outlet = Outlet {
             book: book.clone(),
             peers: base.peers.clone(),
-            membership: Arc::clone(&joined),
+            membership: Arc::clone(&membership_cell),
             marks: Counter::default(),
         };
         outlet.register(registry);
-        let (dispatcher, dispatching) = start_dispatcher(&base, outlet).await?;
+        let (dispatcher, dispatcher_task) = start_dispatcher(&base, outlet).await?;
         base.service.connect(dispatcher.clone());
         let rules = start_configuration(&base, &dispatcher, registry).await?;
         let keeper = start_keeper(&base, registry);
         let hosts = book.follow(start_hosts(&base.settings, registry)?);
         start_observer(&base.settings, &hosts, &dispatcher, registry);
         let membership = start_membership(base, hosts, &dispatcher, registry).await?;
-        // There is one membership a process.
-        let _ = joined.set(membership.clone());
+        // The cell is empty: this is the only membership of the process.
+        let _ = membership_cell.set(membership.clone());
         Ok(Self {
             book,
             dispatcher,
-            dispatching,
+            dispatcher_task,
             keeper,
             membership,
             rules,
@@ -164,12 +164,12 @@
     };
     Controller::start(arguments).await?;
     let rules = rules::follow(base.configuration.receiver());
-    tokio::spawn(configure(rules.clone(), dispatcher.clone()));
+    tokio::spawn(forward_rules(rules.clone(), dispatcher.clone()));
     Ok(rules)
 }
 
-/// Tells the core every text that comes into force.
-async fn configure(mut rules: rules::Receiver, dispatcher: Sender) {
+/// Passes every configuration that comes into force to the scheduler.
+async fn forward_rules(mut rules: rules::Receiver, dispatcher: Sender) {
     loop {
         let current = rules.borrow_and_update().clone();
         if let Some(current) = current {
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,6 +1,6 @@
 //! The daemon of dottereltally.
 //!
-//! A filter chain serves requests; controllers, each an actor, keep state.
+//! A chain of filters serves the requests; controllers keep the state.
 
 pub mod address;
 pub mod answer;
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon.
+//! The daemon's entry point.
 
 use std::{
     env,
@@ -14,8 +14,8 @@
 use eyre::WrapErr;
 use tracing_subscriber::filter::LevelFilter;
 
-/// Exit code of unusable settings.
-const UNUSABLE_SETTINGS: u8 = 2;
+/// Exit code for invalid settings.
+const INVALID_SETTINGS: u8 = 2;
 
 /// Schedules requests onto the endpoints of the operators' services.
 #[derive(FromArgs)]
@@ -30,8 +30,8 @@
 
 fn main() -> ExitCode {
     let arguments: Arguments = argh::from_env();
-    let Some(settings) = read(&arguments.settings) else {
-        return ExitCode::from(UNUSABLE_SETTINGS);
+    let Some(settings) = read_settings(&arguments.settings) else {
+        return ExitCode::from(INVALID_SETTINGS);
     };
     if arguments.check {
         return ExitCode::SUCCESS;
@@ -45,8 +45,8 @@
     }
 }
 
-/// Reads the settings; prints every fault if they are unusable.
-fn read(path: &Path) -> Option<Settings> {
+/// Reads the settings; prints every fault if they are invalid.
+fn read_settings(path: &Path) -> Option<Settings> {
     let parse = |content: &str| wire::parse(path, content, &|name| env::var(name).ok());
     match settings::read(path, parse) {
         Ok(settings) => Some(settings),
@@ -61,7 +61,7 @@
 
 fn start(settings: Settings) -> eyre::Result<()> {
     color_eyre::install()?;
-    log(settings.log)?;
+    init_log(settings.log)?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
@@ -69,8 +69,9 @@
     runtime.block_on(node::run(settings))
 }
 
-/// Sends log lines to standard error; standard output is the ready line's.
-fn log(log: Log) -> eyre::Result<()> {
+/// Sends log lines to standard error; standard output carries only the line that
+/// announces that the node listens.
+fn init_log(log: Log) -> eyre::Result<()> {
     let builder = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .with_max_level(LevelFilter::from_level(log.level));
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -1,4 +1,4 @@
-//! Puts a node together and runs it.
+//! Assembles a node and runs it.
 
 use std::{
     net::SocketAddr,
@@ -36,7 +36,7 @@
 /// Prefix of every metric's name.
 const METRICS_PREFIX: &str = "dottereltally";
 
-/// Line that a node prints once it listens.
+/// The line that a node prints to standard output once it listens.
 #[derive(Serialize)]
 struct Ready {
     node: id::Node,
@@ -45,7 +45,7 @@
     operations: SocketAddr,
 }
 
-/// Sockets that a node listens on.
+/// The sockets on which a node listens.
 struct Listeners {
     callers: TcpListener,
     peers: TcpListener,
@@ -77,18 +77,18 @@
         .wrap_err_with(|| format!("can't listen on {address}; change `listen.{field}`"))
 }
 
-/// Returns the first attempt's number, above those of earlier processes of
-/// the node.
-fn first_number() -> u64 {
+/// Returns the number of the first attempt, higher than those of earlier
+/// processes of the node as long as the wall clock is not set back.
+fn first_attempt_number() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     u64::try_from(since.unwrap_or_default().as_micros()).unwrap_or_default()
 }
 
-/// Servers of callers and operators.
+/// The running servers for callers and operators.
 struct Servers {
     callers: JoinHandle<()>,
     operations: JoinHandle<()>,
-    places: Table,
+    requests: Table,
     stop: watch::Sender<bool>,
 }
 
@@ -107,7 +107,7 @@
             head_timeout: settings.limits.head_timeout,
             write_timeout: settings.limits.inactivity,
         };
-        let places = Table::default();
+        let requests = Table::default();
         let metrics = Metrics::default();
         metrics.register(&mut registry);
         let chain = Arc::new(Chain {
@@ -115,13 +115,13 @@
             limits: settings.limits.clone(),
             clock,
             rules: controllers.rules.clone(),
-            places: places.clone(),
+            places: requests.clone(),
             dispatcher: controllers.dispatcher.clone(),
             resolve: controllers.book.resolve(),
             upstream: Pool::default(),
             keeper: controllers.keeper.clone(),
             metrics,
-            next: AtomicU64::new(first_number()),
+            next: AtomicU64::new(first_attempt_number()),
         });
         let handler = move |request| Arc::clone(&chain).serve(request);
         let callers = server::serve(callers, limits, phase.draining(), handler);
@@ -132,7 +132,7 @@
             book: controllers.book.clone(),
             dispatcher: controllers.dispatcher.clone(),
             membership: controllers.membership.clone(),
-            platform: Arc::new(move || keeper.is_available()),
+            is_platform_available: Arc::new(move || keeper.is_available()),
             phase: phase.clone(),
         };
         let pages = Arc::new(Pages::new(registry, state));
@@ -145,20 +145,20 @@
         Self {
             callers: tokio::spawn(callers),
             operations: tokio::spawn(operations),
-            places,
+            requests,
             stop,
         }
     }
 }
 
-/// Time to give back the claims of calls that were given up.
-const CLAIM_GRACE: Duration = Duration::from_secs(2);
+/// Time at shutdown to release the claims of abandoned calls.
+const CLAIM_RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Runs a node until it is told to stop.
 ///
 /// # Errors
 ///
-/// Fails if it can't listen or its dispatcher stops unasked.
+/// Fails if the node can't be started or its dispatcher stops unexpectedly.
 pub async fn run(settings: Settings) -> eyre::Result<()> {
     let listeners = Listeners::bind(&settings).await?;
     let ready = listeners.ready(settings.node.clone())?;
@@ -180,7 +180,7 @@
     println!("{ready}");
     tokio::select! {
         requested = shutdown::requested() => requested?,
-        _ = &mut controllers.dispatching => {
+        _ = &mut controllers.dispatcher_task => {
             eyre::bail!("the dispatcher stopped; report the panic above");
         }
     }
@@ -188,7 +188,8 @@
     Ok(())
 }
 
-/// Stops in an order that cuts no request.
+/// Stops the node step by step, so that running requests can finish within the
+/// grace period.
 async fn stop(settings: &Settings, phase: &Phase, controllers: &Controllers, mut servers: Servers) {
     phase.announce();
     tracing::info!("shutting down: not ready any more");
@@ -198,15 +199,18 @@
     tracing::info!("shutting down: no new requests");
     let finishing = async {
         let _ = (&mut servers.callers).await;
-        servers.places.idle().await;
+        servers.requests.idle().await;
     };
     if timeout(settings.shutdown.grace, finishing).await.is_err() {
-        let requests = servers.places.total();
-        tracing::warn!(requests, "shutting down: the grace period is over");
+        let requests = servers.requests.total();
+        tracing::warn!(
+            requests,
+            "shutting down: the grace period ended with requests still running"
+        );
     }
-    let deadline = Instant::now() + CLAIM_GRACE;
+    let deadline = Instant::now() + CLAIM_RELEASE_TIMEOUT;
     if !controllers.keeper.drain(deadline).await {
-        tracing::warn!("shutting down: claims could not be given back");
+        tracing::warn!("shutting down: some claims could not be released in time");
     }
     controllers.membership.leave().await;
     servers.stop.send_replace(true);
--- a/node/src/shutdown.rs
+++ b/node/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Stops a node without cutting a request.
+//! The phases of a graceful shutdown and the signals that request it.
 
 use std::{
     io,
@@ -13,7 +13,7 @@
     sync::watch,
 };
 
-/// Phases of a shutdown; clones share them.
+/// The phase of a shutdown; clones share it.
 #[derive(Clone, Debug)]
 pub struct Phase {
     announced: Arc<AtomicBool>,
@@ -30,7 +30,7 @@
 }
 
 impl Phase {
-    /// Announces the shutdown; the node is not ready from here on.
+    /// Announces the shutdown; the node is no longer ready.
     pub fn announce(&self) {
         self.announced.store(true, Ordering::Release);
     }
@@ -41,23 +41,23 @@
         self.announced.load(Ordering::Acquire)
     }
 
-    /// Stops taking requests.
+    /// Starts draining; the node accepts no more requests.
     pub fn drain(&self) {
         self.draining.send_replace(true);
     }
 
-    /// Returns a receiver that turns true when no more requests are taken.
+    /// Returns a receiver that becomes true when draining starts.
     #[must_use]
     pub fn draining(&self) -> watch::Receiver<bool> {
         self.draining.subscribe()
     }
 }
 
-/// Waits for the signal to stop.
+/// Waits for a signal that requests the shutdown: `SIGTERM` or `SIGINT`.
 ///
 /// # Errors
 ///
-/// Fails if the signals can't be listened for.
+/// Fails if the signal handlers can't be installed.
 pub async fn requested() -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
--- a/node/src/state.rs
+++ b/node/src/state.rs
@@ -1,4 +1,4 @@
-//! State of the node for its status page.
+//! The state of the node that its status and readiness pages show.
 
 use std::sync::Arc;
 
@@ -11,24 +11,24 @@
     shutdown::Phase,
 };
 
-/// Tells whether the platform answers.
-pub type Platform = Arc<dyn Fn() -> bool + Send + Sync>;
+/// Returns whether the platform is available.
+pub type Availability = Arc<dyn Fn() -> bool + Send + Sync>;
 
-/// The parts of the node that the status page tells of.
+/// Handles to the parts of the node whose state the pages show.
 pub struct State {
-    /// Its settings.
+    /// Settings of the node.
     pub settings: Settings,
     /// The rules in force.
     pub rules: rules::Receiver,
-    /// The endpoints.
+    /// Addresses of the endpoints.
     pub book: Book,
-    /// The decision core.
+    /// Provides the scheduler's view of services and endpoints.
     pub dispatcher: dispatcher::Sender,
-    /// The live nodes.
+    /// Provides the live nodes.
     pub membership: membership::Handle,
-    /// Whether the platform answers.
-    pub platform: Platform,
-    /// Whether the node is shutting down.
+    /// Whether the platform is available.
+    pub is_platform_available: Availability,
+    /// Phase of the shutdown.
     pub phase: Phase,
 }
 
@@ -47,7 +47,7 @@
             data_centre: self.settings.data_centre.clone(),
             generation: generation.unwrap_or_default(),
             draining: self.phase.is_announced(),
-            platform: (self.platform)(),
+            platform: (self.is_platform_available)(),
             peers,
             services: view.services,
             endpoints: view.endpoints,
