--- a/store/src/memory.rs
+++ b/store/src/memory.rs
@@ -1,8 +1,8 @@
 //! In-memory implementations of the platform for tests.
 //!
-//! [`Store`] keeps keys in a map behind one lock. Leases run on tokio's clock,
-//! which a test can pause and advance. Each [`Store::connect`] gives a client
-//! with fault switches of its own over the same data.
+//! [`Store`] keeps its keys in a map behind one lock. Leases expire by tokio's
+//! clock, which a test can pause and advance. [`Store::connect`] returns another
+//! client of the same data, with its own faults.
 
 mod data;
 mod fault;
@@ -23,16 +23,16 @@
 
 pub use fault::{Call, Count, Fault};
 
-/// Locks a mutex whose data stay valid even if a holder panicked.
+/// Locks a mutex; its data stay valid even if a holder panicked.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A client of an in-memory key-value service; clones share its faults.
+/// A client of an in-memory key-value service; clones share their faults.
 #[derive(Clone)]
 pub struct Store {
     data: Arc<Mutex<Data>>,
-    ticks: Arc<watch::Sender<u64>>,
+    notifier: Arc<watch::Sender<u64>>,
     faults: Arc<Mutex<Faults>>,
 }
 
@@ -40,7 +40,7 @@
     fn default() -> Self {
         Self {
             data: Arc::default(),
-            ticks: Arc::new(watch::Sender::new(0)),
+            notifier: Arc::new(watch::Sender::new(0)),
             faults: Arc::default(),
         }
     }
@@ -52,7 +52,7 @@
     pub fn connect(&self) -> Self {
         Self {
             data: Arc::clone(&self.data),
-            ticks: Arc::clone(&self.ticks),
+            notifier: Arc::clone(&self.notifier),
             faults: Arc::default(),
         }
     }
@@ -60,13 +60,13 @@
     /// Makes the service unreachable for this client, or reachable again.
     pub fn set_down(&self, down: bool) {
         lock(&self.faults).down = down;
-        self.tick();
+        self.notify_watches();
     }
 
-    /// Keeps the watches of this client silent, or lets them speak again.
+    /// Stops the watches of this client from reporting changes, or resumes them.
     pub fn set_silent(&self, silent: bool) {
         lock(&self.faults).silent = silent;
-        self.tick();
+        self.notify_watches();
     }
 
     /// Sets the time limit after which a call without answer fails.
@@ -74,12 +74,14 @@
         lock(&self.faults).timeout = timeout;
     }
 
-    /// Lets the next call of a kind go wrong; several are taken in order.
+    /// Applies a fault to the next call of a kind; faults of one kind are used
+    /// in the order in which they were injected.
     pub fn inject(&self, call: Call, fault: Fault) {
         lock(&self.faults).queue.push_back((call, fault));
     }
 
-    /// Lets a function choose the fault of each call that none is queued for.
+    /// Sets a function that chooses the fault of each call without an injected
+    /// one.
     pub fn script(&self, choose: impl FnMut(Call) -> Option<Fault> + Send + 'static) {
         lock(&self.faults).script = Some(Box::new(choose));
     }
@@ -90,33 +92,35 @@
         lock(&self.faults).count
     }
 
-    /// Returns a key's entry without a call.
+    /// Returns a key's entry directly, without faults and without counting a
+    /// call.
     #[must_use]
     pub fn peek(&self, key: &str) -> Option<Entry> {
         self.apply(|data| data.get(key))
     }
 
-    /// Writes a key without a call.
+    /// Writes a key directly, without faults and without counting a call.
     pub fn poke(&self, key: &str, value: Vec<u8>) {
         self.apply(|data| data.put(key, value, None));
     }
 
-    fn tick(&self) {
-        self.ticks.send_modify(|tick| *tick += 1);
+    fn notify_watches(&self) {
+        self.notifier.send_modify(|count| *count += 1);
     }
 
-    /// Lets expired leases lapse, then runs `effect` on the data.
+    /// Removes expired leases, then runs `effect` on the data.
     fn apply<T>(&self, effect: impl FnOnce(&mut Data) -> T) -> T {
         let result = {
             let mut data = lock(&self.data);
             data.expire(time::Instant::now());
             effect(&mut data)
         };
-        self.tick();
+        self.notify_watches();
         result
     }
 
-    /// Runs one call with the fault that is due.
+    /// Runs one call with its fault, if any; `effect` is told whether to read
+    /// stale data.
     async fn call<T: Send>(
         &self,
         call: Call,
@@ -126,7 +130,7 @@
             let mut faults = lock(&self.faults);
             (faults.next(call), faults.timeout)
         };
-        let lost = || Error::Lost("time limit".to_owned());
+        let lost = || Error::Lost("timed out".to_owned());
         tokio::task::yield_now().await;
         match fault {
             None => self.apply(|data| effect(data, false)),
@@ -170,7 +174,7 @@
         let key = key.to_owned();
         self.call(Call::Get, move |data, stale| {
             if stale {
-                return Ok(data.before(&key));
+                return Ok(data.previous(&key));
             }
             Ok(data.get(&key))
         })
@@ -211,22 +215,23 @@
         self.call(Call::Watch, |_, _| Ok(())).await?;
         Ok(Watch {
             store: self.clone(),
-            ticks: self.ticks.subscribe(),
+            notifications: self.notifier.subscribe(),
             key: key.to_owned(),
             from,
         })
     }
 }
 
-/// A watch of [`Store`].
+/// Watch of one key of a [`Store`].
 pub struct Watch {
     store: Store,
-    ticks: watch::Receiver<u64>,
+    notifications: watch::Receiver<u64>,
     key: String,
     from: Revision,
 }
 
 impl Watch {
+    /// Returns the changes since the last call, none while the watch is silent.
     fn pending(&mut self) -> Result<Vec<Change>, Error> {
         let (down, silent) = {
             let faults = lock(&self.store.faults);
@@ -248,12 +253,12 @@
 impl kv::Watch for Watch {
     async fn next(&mut self) -> Result<Vec<Change>, Error> {
         loop {
-            self.ticks.mark_unchanged();
+            self.notifications.mark_unchanged();
             let changes = self.pending()?;
             if !changes.is_empty() {
                 return Ok(changes);
             }
-            let _closed = self.ticks.changed().await;
+            let _closed = self.notifications.changed().await;
         }
     }
 }
--- a/store/src/memory/data.rs
+++ b/store/src/memory/data.rs
@@ -6,14 +6,14 @@
 
 use crate::kv::{Change, Compare, Entry, Error, Lease, Operation, Outcome, Revision, Transaction};
 
-/// A key's entry and the lease that it is bound to.
+/// Stored key: its entry and the lease that it is bound to.
 #[derive(Clone)]
-struct Bound {
+struct Record {
     entry: Entry,
     lease: Option<Lease>,
 }
 
-/// A granted lease.
+/// Time to live and expiry of a lease.
 struct Term {
     ttl: Duration,
     expiry: Instant,
@@ -23,8 +23,8 @@
 #[derive(Default)]
 pub(super) struct Data {
     revision: i64,
-    keys: BTreeMap<String, Bound>,
-    before: BTreeMap<String, Option<Entry>>,
+    keys: BTreeMap<String, Record>,
+    previous: BTreeMap<String, Option<Entry>>,
     leases: BTreeMap<i64, Term>,
     granted: i64,
     history: Vec<(Revision, String, Change)>,
@@ -36,12 +36,12 @@
     }
 
     pub(super) fn get(&self, key: &str) -> Option<Entry> {
-        self.keys.get(key).map(|bound| bound.entry.clone())
+        self.keys.get(key).map(|record| record.entry.clone())
     }
 
-    /// Returns the entry before the key's last change.
-    pub(super) fn before(&self, key: &str) -> Option<Entry> {
-        self.before.get(key).cloned().flatten()
+    /// Returns the key's entry before its last change.
+    pub(super) fn previous(&self, key: &str) -> Option<Entry> {
+        self.previous.get(key).cloned().flatten()
     }
 
     pub(super) fn list(&self, prefix: &str, limit: usize) -> Vec<Entry> {
@@ -49,11 +49,11 @@
             .range(prefix.to_owned()..)
             .take_while(|(key, _)| key.starts_with(prefix))
             .take(limit)
-            .map(|(_, bound)| bound.entry.clone())
+            .map(|(_, record)| record.entry.clone())
             .collect()
     }
 
-    /// Returns the changes of a key from a revision on.
+    /// Returns the changes of a key since revision `from`, inclusive.
     pub(super) fn changes(&self, key: &str, from: Revision) -> Vec<Change> {
         let mut changes = Vec::new();
         for (revision, changed, change) in &self.history {
@@ -64,7 +64,7 @@
         changes
     }
 
-    /// Writes a key in a revision of its own.
+    /// Writes a key in a new revision.
     pub(super) fn put(&mut self, key: &str, value: Vec<u8>, lease: Option<Lease>) {
         self.revision += 1;
         self.write(key, value, lease);
@@ -82,8 +82,8 @@
         };
         let change = Change::Put(entry.clone());
         self.history.push((modified, key.to_owned(), change));
-        self.before.insert(key.to_owned(), old);
-        self.keys.insert(key.to_owned(), Bound { entry, lease });
+        self.previous.insert(key.to_owned(), old);
+        self.keys.insert(key.to_owned(), Record { entry, lease });
     }
 
     /// Deletes a key in the current revision.
@@ -93,7 +93,7 @@
         };
         let change = Change::Deleted(key.to_owned(), self.revision());
         self.history.push((self.revision(), key.to_owned(), change));
-        self.before.insert(key.to_owned(), Some(old.entry));
+        self.previous.insert(key.to_owned(), Some(old.entry));
     }
 
     fn holds(&self, compare: &Compare) -> bool {
@@ -102,11 +102,11 @@
             Compare::Modified(key, revision) => self
                 .keys
                 .get(key)
-                .is_some_and(|bound| bound.entry.modified == *revision),
+                .is_some_and(|record| record.entry.modified == *revision),
             Compare::Value(key, value) => self
                 .keys
                 .get(key)
-                .is_some_and(|bound| bound.entry.value == *value),
+                .is_some_and(|record| record.entry.value == *value),
         }
     }
 
@@ -167,14 +167,14 @@
         if self.leases.remove(&lease.0).is_none() {
             return Err(Error::UnknownLease(lease));
         }
-        let mut bound = Vec::new();
-        for (key, value) in &self.keys {
-            if value.lease == Some(lease) {
-                bound.push(key.clone());
+        let mut keys = Vec::new();
+        for (key, record) in &self.keys {
+            if record.lease == Some(lease) {
+                keys.push(key.clone());
             }
         }
         self.revision += 1;
-        for key in bound {
+        for key in keys {
             self.delete(&key);
         }
         Ok(())
--- a/store/src/memory/fault.rs
+++ b/store/src/memory/fault.rs
@@ -1,9 +1,9 @@
-//! Fault switches of the in-memory key-value service.
+//! Fault injection of the in-memory key-value service.
 
 use std::{collections::VecDeque, time::Duration};
 
 /// Time limit of a call unless a test sets another.
-const TIMEOUT: Duration = Duration::from_millis(500);
+const DEFAULT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Kind of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,19 +24,19 @@
     Watch,
 }
 
-/// What goes wrong with one call.
+/// Fault of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing is handed over.
+    /// The service can't be reached; the call fails at once.
     Unreachable,
-    /// The call never arrives; the caller waits in vain.
+    /// The request is lost; the call has no effect and times out.
     CallLost,
-    /// The call takes effect; the caller waits in vain.
+    /// The answer is lost; the call takes effect and times out.
     AnswerLost,
-    /// The caller waits in vain; the call takes effect after this delay.
+    /// The call times out and takes effect after this delay.
     Delayed(Duration),
-    /// The call takes effect half-way through this delay and is answered at
-    /// its end.
+    /// The call takes effect after half of this delay and is answered at its
+    /// end.
     Slow(Duration),
     /// A read is answered with the value before the last change.
     Stale,
@@ -58,7 +58,7 @@
 /// Chooses the fault of a call.
 pub(super) type Script = Box<dyn FnMut(Call) -> Option<Fault> + Send>;
 
-/// The switches of one client.
+/// Faults and call counts of one client.
 pub(super) struct Faults {
     pub(super) down: bool,
     pub(super) silent: bool,
@@ -73,7 +73,7 @@
         Self {
             down: false,
             silent: false,
-            timeout: TIMEOUT,
+            timeout: DEFAULT_TIMEOUT,
             queue: VecDeque::new(),
             script: None,
             count: Count::default(),
@@ -82,7 +82,7 @@
 }
 
 impl Faults {
-    /// Counts a call and returns the fault that is due.
+    /// Counts a call and returns its fault, if any.
     pub(super) fn next(&mut self, call: Call) -> Option<Fault> {
         match call {
             Call::Get | Call::List => self.count.reads += 1,
--- a/store/tests/test_memory.rs
+++ b/store/tests/test_memory.rs
@@ -1,4 +1,5 @@
-//! The in-memory key-value service keeps the rules that its users rely on.
+//! The in-memory key-value service: the semantics that other tests rely on, and
+//! its fault injection.
 
 use std::time::Duration;
 
@@ -22,7 +23,7 @@
     Operation::Get("k".to_owned())
 }
 
-fn when(compare: Compare, success: Operation) -> Transaction {
+fn conditional(compare: Compare, success: Operation) -> Transaction {
     Transaction {
         compares: vec![compare],
         success: vec![success],
@@ -41,8 +42,14 @@
 #[tokio::test(start_paused = true)]
 async fn of_two_creations_the_first_wins_and_the_second_reads_it() {
     let store = Store::default();
-    let first = store.transact(when(absent(), put("a"))).await.unwrap();
-    let second = store.transact(when(absent(), put("b"))).await.unwrap();
+    let first = store
+        .transact(conditional(absent(), put("a")))
+        .await
+        .unwrap();
+    let second = store
+        .transact(conditional(absent(), put("b")))
+        .await
+        .unwrap();
     assert!(first.succeeded);
     assert!(!second.succeeded);
     assert_eq!(value(&second), Some(b"a".to_vec()));
@@ -62,17 +69,20 @@
     let store = Store::default();
     store.poke("k", b"a".to_vec());
     let delete = Operation::Delete("k".to_owned());
-    let outcome = store.transact(when(compare, delete)).await.unwrap();
+    let outcome = store.transact(conditional(compare, delete)).await.unwrap();
     assert_eq!(outcome.succeeded, holds);
     assert_eq!(store.peek("k").is_none(), holds);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lapsed_lease_takes_its_keys_along_and_is_unknown() {
+async fn an_expired_lease_deletes_its_keys_and_becomes_unknown() {
     let store = Store::default();
     let lease = store.grant(TTL).await.unwrap();
     let bound = Operation::Put("k".to_owned(), Vec::new(), Some(lease));
-    store.transact(when(absent(), bound.clone())).await.unwrap();
+    store
+        .transact(conditional(absent(), bound.clone()))
+        .await
+        .unwrap();
     time::sleep(TTL / 2).await;
     assert_eq!(store.renew(lease).await, Ok(TTL));
     time::sleep(TTL / 2).await;
@@ -80,17 +90,17 @@
     time::sleep(TTL / 2).await;
     assert!(store.peek("k").is_none());
     assert_eq!(store.renew(lease).await, Err(Error::UnknownLease(lease)));
-    let refused = store.transact(when(absent(), bound)).await;
+    let refused = store.transact(conditional(absent(), bound)).await;
     assert_eq!(refused, Err(Error::UnknownLease(Lease(1))));
     assert!(store.peek("k").is_none());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_key_written_without_its_lease_outlives_it() {
+async fn a_key_rewritten_without_its_lease_outlives_the_lease() {
     let store = Store::default();
     let lease = store.grant(TTL).await.unwrap();
     let bound = Operation::Put("k".to_owned(), Vec::new(), Some(lease));
-    store.transact(when(absent(), bound)).await.unwrap();
+    store.transact(conditional(absent(), bound)).await.unwrap();
     store.poke("k", b"a".to_vec());
     store.revoke(lease).await.unwrap();
     assert!(store.peek("k").is_some());
@@ -101,14 +111,14 @@
 #[case::call_lost(Fault::CallLost, false, false)]
 #[case::delayed(Fault::Delayed(Duration::from_secs(2)), false, true)]
 #[tokio::test(start_paused = true)]
-async fn a_lost_call_takes_effect_at_once_later_or_never(
+async fn a_lost_call_takes_effect_immediately_later_or_never(
     #[case] fault: Fault,
     #[case] at_once: bool,
     #[case] in_the_end: bool,
 ) {
     let store = Store::default();
     store.inject(Call::Transact, fault);
-    let result = store.transact(when(absent(), put("a"))).await;
+    let result = store.transact(conditional(absent(), put("a"))).await;
     assert!(result.unwrap_err().may_have_taken_effect());
     assert_eq!(store.peek("k").is_some(), at_once);
     time::sleep(Duration::from_secs(3)).await;
@@ -116,11 +126,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_outage_is_one_client_s_own() {
+async fn an_outage_affects_only_its_client() {
     let store = Store::default();
     let other = store.connect();
     store.set_down(true);
-    let result = store.transact(when(absent(), put("a"))).await;
+    let result = store.transact(conditional(absent(), put("a"))).await;
     assert!(!result.unwrap_err().may_have_taken_effect());
     assert!(other.get("k").await.unwrap().is_none());
 }
@@ -136,7 +146,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_watch_reports_what_came_before_and_after_its_start() {
+async fn a_watch_reports_changes_before_and_after_its_start() {
     let store = Store::default();
     store.poke("k", b"a".to_vec());
     store.poke("other", b"x".to_vec());
@@ -144,7 +154,7 @@
     let changes = watch.next().await.unwrap();
     assert!(matches!(&changes[..], [Change::Put(entry)] if entry.value == b"a"));
     let writer = store.connect();
-    let delete = when(
+    let delete = conditional(
         Compare::Modified("k".to_owned(), Revision(1)),
         Operation::Delete("k".to_owned()),
     );
