--- a/cli/src/command.rs
+++ b/cli/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands, one module each.
+//! The subcommands, one per module.
 
 mod apply;
 mod check;
@@ -14,21 +14,22 @@
 use argh::FromArgs;
 use derive_more::From;
 
-use crate::{connection::Connection, output::Printer};
+use crate::{output::Printer, platform::Platform};
 
 /// Exit codes, documented in docs/OPERATIONS.md.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Code {
-    /// Done.
+    /// The command succeeded.
     Done = 0,
-    /// Failed for another reason.
+    /// The command failed for a reason without a code of its own, or was not
+    /// done everywhere.
     Failed = 1,
-    /// The input has faults.
+    /// The input is invalid.
     BadInput = 2,
-    /// Somebody else changed the configuration.
+    /// The configuration has changed since the generation that was edited.
     Conflict = 3,
     /// The platform can't be reached.
-    PlatformAway = 4,
+    PlatformUnreachable = 4,
 }
 
 impl From<Code> for ExitCode {
@@ -37,7 +38,7 @@
     }
 }
 
-/// A command with its arguments.
+/// A subcommand with its arguments.
 #[derive(Debug, From, FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
@@ -49,11 +50,11 @@
     Diff(diff::Diff),
     /// Prints the digest of a caller's key.
     Digest(digest::Digest),
-    /// Explains what a node would do with a call.
+    /// Explains how a request would be treated.
     Explain(explain::Explain),
     /// Prints the audit trail.
     History(history::History),
-    /// Prints the text in force.
+    /// Prints the configuration in force.
     Show(show::Show),
     /// Prints the state of the nodes.
     Status(status::Status),
@@ -63,20 +64,16 @@
 ///
 /// # Errors
 ///
-/// Fails with the command's own error, for [`crate::hint`] to explain.
-pub async fn run(
-    command: Command,
-    connection: &Connection,
-    printer: Printer,
-) -> eyre::Result<Code> {
+/// Fails with the command's error, which [`crate::hint`] prints.
+pub async fn run(command: Command, platform: &Platform, printer: Printer) -> eyre::Result<Code> {
     match command {
-        Command::Apply(apply) => apply.run(connection, printer).await,
+        Command::Apply(apply) => apply.run(platform, printer).await,
         Command::Check(check) => check.run(printer),
-        Command::Diff(diff) => diff.run(connection, printer).await,
+        Command::Diff(diff) => diff.run(platform, printer).await,
         Command::Digest(_) => digest::Digest::run(printer),
-        Command::Explain(explain) => explain.run(connection, printer).await,
-        Command::History(history) => history.run(connection, printer).await,
-        Command::Show(show) => show.run(connection, printer).await,
-        Command::Status(status) => status.run(connection, printer).await,
+        Command::Explain(explain) => explain.run(platform, printer).await,
+        Command::History(history) => history.run(platform, printer).await,
+        Command::Show(show) => show.run(platform, printer).await,
+        Command::Status(status) => status.run(platform, printer).await,
     }
 }
--- a/cli/src/command/apply.rs
+++ b/cli/src/command/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: puts a file in force.
+//! `apply`: puts the configuration in a file in force.
 
 use std::{
     env,
@@ -12,32 +12,36 @@
 use tokio::time;
 use uuid::Uuid;
 
-use crate::{command::Code, connection::Connection, output::Printer, page};
+use crate::{command::Code, document, output::Printer, platform::Platform};
 
+/// Time between two checks of whether every node has the new generation.
 const WAIT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Put a file in force, unless somebody changed the configuration since the
+/// Put a file in force, unless the configuration has changed since the
 /// generation that the file names.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "apply")]
 pub struct Apply {
-    /// the file
+    /// file to apply
     #[argh(positional)]
     file: String,
 
-    /// generation that the file was edited from, if the file does not say
+    /// generation that the file was edited from; default: the one that the file
+    /// names
     #[argh(option)]
     base: Option<u64>,
 
-    /// name for the audit trail; else from `USER`
+    /// author for the audit trail; default: `USER`
     #[argh(option)]
     author: Option<String>,
 
-    /// return when every live node has it in force, or say which have not
+    /// wait until every node of the host list has it in force, and list those
+    /// that do not
     #[argh(switch)]
     wait: bool,
 
-    /// time to settle a lost answer and to wait, such as `10s`
+    /// time limit, such as `10s`, for finding out about a lost answer, and again
+    /// for `--wait`
     #[argh(option, default = "Duration::from_secs(10)", from_str_fn(duration))]
     timeout: Duration,
 }
@@ -48,22 +52,22 @@
 
 impl Apply {
     /// Runs the command.
-    pub async fn run(&self, connection: &Connection, printer: Printer) -> eyre::Result<Code> {
-        let page = page::Page::read(&self.file)?;
-        page.content.parse::<Text>()?;
-        let proposal = self.proposal(&page, connection).await?;
-        let accepted = proposal.submit(&connection.store()?, self.timeout).await?;
+    pub async fn run(&self, platform: &Platform, printer: Printer) -> eyre::Result<Code> {
+        let document = document::Document::read(&self.file)?;
+        document.content.parse::<Text>()?;
+        let proposal = self.proposal(&document, platform).await?;
+        let accepted = proposal.submit(&platform.store()?, self.timeout).await?;
         let (generation, changes) = match accepted {
             Accepted::Changed(generation, changes) => (generation, changes),
             Accepted::Unchanged(generation) => (generation, Vec::new()),
         };
-        let recorded = page.record(generation)?;
+        let file_updated = document.update_generation(generation)?;
         let missing = if self.wait {
-            self.missing(connection, generation).await?
+            self.await_generation(platform, generation).await?
         } else {
             Vec::new()
         };
-        let text = describe(generation, &changes, recorded, &missing);
+        let text = describe(generation, &changes, file_updated, &missing);
         let value = json!({"generation": generation, "changes": changes, "missing": missing});
         printer.print(&text, &value)?;
         Ok(if missing.is_empty() {
@@ -73,32 +77,37 @@
         })
     }
 
-    async fn proposal(&self, page: &page::Page, connection: &Connection) -> eyre::Result<Proposal> {
+    async fn proposal(
+        &self,
+        document: &document::Document,
+        platform: &Platform,
+    ) -> eyre::Result<Proposal> {
         let base = match self.base {
             Some(base) => id::Generation(base),
-            None => page.base()?,
+            None => document.base()?,
         };
         let author = self.author.clone().or_else(|| env::var("USER").ok());
         Ok(Proposal {
             base,
-            floor: connection.highest_generation().await,
-            text: page.content.clone(),
+            floor: platform.highest_generation().await,
+            text: document.content.clone(),
             author: author.unwrap_or_else(|| "unknown".to_owned()),
             time: humantime::format_rfc3339_seconds(SystemTime::now()).to_string(),
             token: Uuid::new_v4().to_string(),
         })
     }
 
-    /// Waits for the generation and returns the nodes that do not have it.
-    async fn missing(
+    /// Waits until every node has the generation in force, and returns the
+    /// nodes that do not have it when the time limit has passed.
+    async fn await_generation(
         &self,
-        connection: &Connection,
+        platform: &Platform,
         generation: id::Generation,
     ) -> eyre::Result<Vec<id::Node>> {
         let deadline = time::Instant::now() + self.timeout;
         loop {
             let mut missing = Vec::new();
-            for report in connection.reports().await? {
+            for report in platform.reports().await? {
                 if report.generation() < generation {
                     missing.push(report.entry.node);
                 }
@@ -114,7 +123,7 @@
 fn describe(
     generation: id::Generation,
     changes: &[String],
-    recorded: bool,
+    file_updated: bool,
     missing: &[id::Node],
 ) -> String {
     let mut lines = changes.to_vec();
@@ -125,7 +134,7 @@
     } else {
         lines.push(format!("generation {generation} is accepted"));
     }
-    if recorded {
+    if file_updated {
         lines.push(format!(
             "the file now names generation {generation}; commit it"
         ));
--- a/cli/src/command/check.rs
+++ b/cli/src/command/check.rs
@@ -1,16 +1,16 @@
-//! `check`: reads a file and lists every fault, without the platform.
+//! `check`: lists every fault of a file, without contacting the platform.
 
 use argh::FromArgs;
 use dottereltally_lib::text::Text;
 use serde_json::json;
 
-use crate::{command::Code, output::Printer, page};
+use crate::{command::Code, document, output::Printer};
 
 /// Check a file offline and list all its faults.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct Check {
-    /// the file
+    /// file to check
     #[argh(positional)]
     file: String,
 }
@@ -18,8 +18,8 @@
 impl Check {
     /// Runs the command.
     pub fn run(&self, printer: Printer) -> eyre::Result<Code> {
-        let page = page::Page::read(&self.file)?;
-        let text: Text = page.content.parse()?;
+        let document = document::Document::read(&self.file)?;
+        let text: Text = document.content.parse()?;
         let summary = format!(
             "{}: {} services, {} calls, {} workspaces, no faults",
             self.file,
--- a/cli/src/command/digest.rs
+++ b/cli/src/command/digest.rs
@@ -1,4 +1,5 @@
-//! `digest`: turns a caller's key into what the text lists.
+//! `digest`: prints the digest of a caller's key, which the text lists instead of
+//! the key.
 
 use std::io;
 
@@ -9,7 +10,8 @@
 
 use crate::{command::Code, output::Printer};
 
-/// Read a caller's key from standard input and print its digest for `keys`.
+/// Read a caller's key from standard input and print its digest, to be listed
+/// under `keys` of a workspace.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "digest")]
 pub struct Digest {}
--- a/cli/src/command/explain.rs
+++ b/cli/src/command/explain.rs
@@ -1,4 +1,5 @@
-//! `explain`: tells how a call would be treated, from the text in force.
+//! `explain`: tells how a request would be treated by the configuration in
+//! force.
 
 use argh::FromArgs;
 use dottereltally_lib::{
@@ -9,9 +10,9 @@
 use eyre::eyre;
 use serde_json::json;
 
-use crate::{command::Code, connection::Connection, output::Printer};
+use crate::{command::Code, output::Printer, platform::Platform};
 
-/// Explain tier, deadline and service of a call.
+/// Show the call that a request matches, with its tier, deadline and service.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub struct Explain {
@@ -34,17 +35,17 @@
 
 impl Explain {
     /// Runs the command.
-    pub async fn run(&self, connection: &Connection, printer: Printer) -> eyre::Result<Code> {
-        let current = proposal::current(&connection.store()?).await?;
+    pub async fn run(&self, platform: &Platform, printer: Printer) -> eyre::Result<Code> {
+        let current = proposal::current(&platform.store()?).await?;
         let current = current.ok_or_else(|| eyre!("no configuration is in force; `apply` one"))?;
         let text: Text = current.text.parse()?;
         let model = self.model.as_deref().map(id::Model::from);
         let (name, call) = text
             .call(&self.method, &self.path, model.as_ref())
             .ok_or_else(|| {
-                eyre!("no call matches; such a request is answered 404, add it under `calls`")
+                eyre!("no call matches, so the answer would be 404; add a call under `calls`")
             })?;
-        let needed = graph::closure(&text.services, &call.service);
+        let dependencies = graph::closure(&text.services, &call.service);
         let mut lines = vec![
             format!("call {name} of service {}", call.service),
             format!(
@@ -56,12 +57,12 @@
             format!("deadline {}", humantime::format_duration(call.deadline)),
             format!("idempotent {}", call.idempotent),
         ];
-        if !needed.is_empty() {
-            let names: Vec<&str> = needed.iter().map(id::Service::as_str).collect();
+        if !dependencies.is_empty() {
+            let names: Vec<&str> = dependencies.iter().map(id::Service::as_str).collect();
             lines.push(format!("depends on {}", names.join(", ")));
         }
         if let Some(name) = &self.workspace {
-            lines.push(workspace(&text, name)?);
+            lines.push(workspace_line(&text, name)?);
         }
         let value = json!({
             "call": name,
@@ -69,18 +70,18 @@
             "tier": text.tier_name(call.tier),
             "deadline": humantime::format_duration(call.deadline).to_string(),
             "idempotent": call.idempotent,
-            "depends_on": needed,
+            "depends_on": dependencies,
         });
         printer.print(&lines.join("\n"), &value)?;
         Ok(Code::Done)
     }
 }
 
-fn workspace(text: &Text, name: &str) -> eyre::Result<String> {
+fn workspace_line(text: &Text, name: &str) -> eyre::Result<String> {
     let workspace = text
         .workspaces
         .get(&id::Workspace::from(name))
-        .ok_or_else(|| eyre!("`{name}` is no workspace; declare it under `workspaces`"))?;
+        .ok_or_else(|| eyre!("there is no workspace `{name}`; declare it under `workspaces`"))?;
     let limit = workspace
         .limit
         .map_or("no limit".to_owned(), |limit| format!("limit {limit}"));
--- a/cli/src/command/history.rs
+++ b/cli/src/command/history.rs
@@ -4,30 +4,30 @@
 use dottereltally_lib::id;
 use dottereltally_store::{layout::Audit, proposal};
 
-use crate::{command::Code, connection::Connection, output::Printer};
+use crate::{command::Code, output::Printer, platform::Platform};
 
-/// Print who changed what, newest first.
+/// Print the accepted changes and their authors, newest first.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "history")]
 pub struct History {
-    /// number of generations at the most
+    /// maximum number of generations to print
     #[argh(option, default = "20")]
     limit: usize,
 }
 
 impl History {
     /// Runs the command.
-    pub async fn run(&self, connection: &Connection, printer: Printer) -> eyre::Result<Code> {
-        let store = connection.store()?;
+    pub async fn run(&self, platform: &Platform, printer: Printer) -> eyre::Result<Code> {
+        let store = platform.store()?;
         let mut audits = proposal::since(&store, id::Generation::default()).await?;
         audits.reverse();
         audits.truncate(self.limit);
-        printer.print(&table(&audits), &audits)?;
+        printer.print(&describe(&audits), &audits)?;
         Ok(Code::Done)
     }
 }
 
-fn table(audits: &[Audit]) -> String {
+fn describe(audits: &[Audit]) -> String {
     if audits.is_empty() {
         return "the audit trail is empty".to_owned();
     }
--- a/cli/src/command/show.rs
+++ b/cli/src/command/show.rs
@@ -3,7 +3,7 @@
 use argh::FromArgs;
 use dottereltally_store::proposal;
 
-use crate::{command::Code, connection::Connection, output::Printer, page};
+use crate::{command::Code, document, output::Printer, platform::Platform};
 
 /// Print the text in force, with its generation on the first line.
 #[derive(Debug, FromArgs)]
@@ -12,13 +12,13 @@
 
 impl Show {
     /// Runs the command.
-    pub async fn run(&self, connection: &Connection, printer: Printer) -> eyre::Result<Code> {
-        let current = proposal::current(&connection.store()?).await?;
+    pub async fn run(&self, platform: &Platform, printer: Printer) -> eyre::Result<Code> {
+        let current = proposal::current(&platform.store()?).await?;
         let Some(current) = current else {
             eprintln!("no configuration is in force yet; `apply` a first one");
             return Ok(Code::Failed);
         };
-        let text = page::with_generation(&current.text, current.generation);
+        let text = document::with_generation(&current.text, current.generation);
         printer.print(&text, &current)?;
         Ok(Code::Done)
     }
--- a/cli/src/command/status.rs
+++ b/cli/src/command/status.rs
@@ -1,4 +1,4 @@
-//! `status`: prints what every node says of itself.
+//! `status`: prints the status that every node reports.
 
 use std::fmt::Write;
 
@@ -7,31 +7,36 @@
 
 use crate::{
     command::Code,
-    connection::{Connection, Report},
     output::Printer,
+    platform::{Platform, Report},
 };
 
-/// Print the state of every node and of the endpoints it knows.
+/// Print the state of every node, of its services and, if asked, of its
+/// endpoints.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct Status {
-    /// show the endpoints too
+    /// also print the endpoints
     #[argh(switch)]
     endpoints: bool,
 }
 
 impl Status {
     /// Runs the command.
-    pub async fn run(&self, connection: &Connection, printer: Printer) -> eyre::Result<Code> {
-        let reports = connection.reports().await?;
+    pub async fn run(&self, platform: &Platform, printer: Printer) -> eyre::Result<Code> {
+        let reports = platform.reports().await?;
         let mut text = String::new();
         for report in &reports {
             self.describe(report, &mut text)?;
         }
-        let values: Vec<Value> = reports.iter().map(value).collect();
+        let values: Vec<Value> = reports.iter().map(to_json).collect();
         printer.print(&text, &values)?;
-        let all = reports.iter().all(|report| report.status.is_ok());
-        Ok(if all { Code::Done } else { Code::Failed })
+        let all_answered = reports.iter().all(|report| report.status.is_ok());
+        Ok(if all_answered {
+            Code::Done
+        } else {
+            Code::Failed
+        })
     }
 
     fn describe(&self, report: &Report, text: &mut String) -> eyre::Result<()> {
@@ -56,20 +61,20 @@
             text,
             "{node} {data_centre} {standing}: generation {generation}, draining {draining}, platform {platform}"
         )?;
-        for service in list(status, "services") {
+        for service in items(status, "services") {
             writeln!(text, "  service {}", service_line(service))?;
         }
         if !self.endpoints {
             return Ok(());
         }
-        for endpoint in list(status, "endpoints") {
+        for endpoint in items(status, "endpoints") {
             writeln!(text, "  endpoint {}", endpoint_line(endpoint))?;
         }
         Ok(())
     }
 }
 
-fn value(report: &Report) -> Value {
+fn to_json(report: &Report) -> Value {
     match &report.status {
         Ok(status) => {
             json!({"node": report.entry.node, "data_centre": report.entry.data_centre, "status": status})
@@ -80,11 +85,11 @@
     }
 }
 
-fn list<'a>(status: &'a Value, name: &str) -> impl Iterator<Item = &'a Value> + use<'a> {
+fn items<'a>(status: &'a Value, name: &str) -> impl Iterator<Item = &'a Value> + use<'a> {
     status[name].as_array().into_iter().flatten()
 }
 
-fn word(value: &Value, name: &str) -> String {
+fn field_text(value: &Value, name: &str) -> String {
     let value = &value[name];
     value
         .as_str()
@@ -92,21 +97,25 @@
 }
 
 fn service_line(service: &Value) -> String {
-    let (name, open) = (word(service, "name"), word(service, "open"));
-    let missing: Vec<&str> = list(service, "missing").filter_map(Value::as_str).collect();
+    let (name, open) = (field_text(service, "name"), field_text(service, "open"));
+    let missing: Vec<&str> = items(service, "missing")
+        .filter_map(Value::as_str)
+        .collect();
     if missing.is_empty() {
         return format!("{name}: {open} endpoints open");
     }
     let missing = missing.join(", ");
-    format!("{name}: {open} endpoints open, but {missing} has none, which it depends on")
+    format!("{name}: {open} endpoints open, but none open for its dependencies: {missing}")
 }
 
 fn endpoint_line(endpoint: &Value) -> String {
-    let name = word(endpoint, "name");
-    let place = word(endpoint, "data_centre");
-    let state = word(endpoint, "state");
-    let requests = word(endpoint, "requests");
-    let in_flight = word(endpoint, "in_flight");
-    let window = word(endpoint, "window");
-    format!("{name} {place} {state}: {requests} requests, {in_flight} of {window} tokens in flight")
+    let name = field_text(endpoint, "name");
+    let data_centre = field_text(endpoint, "data_centre");
+    let state = field_text(endpoint, "state");
+    let requests = field_text(endpoint, "requests");
+    let in_flight = field_text(endpoint, "in_flight");
+    let window = field_text(endpoint, "window");
+    format!(
+        "{name} {data_centre} {state}: {requests} requests, {in_flight} of {window} tokens in flight"
+    )
 }
--- a/cli/src/page.rs
+++ b/cli/src/document.rs
@@ -1,22 +1,23 @@
-//! A file with the operators' text and the generation it was edited from.
+//! File with the operators' text and the generation that it was edited from.
 
 use std::fs;
 
 use dottereltally_lib::{id, tree};
 use eyre::WrapErr;
 
-const FIELD: &str = "generation";
+/// Field with the generation that the text was edited from.
+const GENERATION_FIELD: &str = "generation";
 
-/// A file that was read.
+/// Content of a file and its path.
 #[derive(Clone, Debug)]
-pub struct Page {
-    /// Its path.
+pub struct Document {
+    /// Path of the file.
     pub path: String,
-    /// Its content.
+    /// Content of the file.
     pub content: String,
 }
 
-impl Page {
+impl Document {
     /// Reads a file.
     ///
     /// # Errors
@@ -32,30 +33,35 @@
         })
     }
 
-    /// Returns the generation that the text was edited from, zero if it names
-    /// none.
+    /// Returns the generation that the text was edited from, or zero if it has
+    /// no such field.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the text is not a tree or the field is not a generation.
     pub fn base(&self) -> eyre::Result<id::Generation> {
         let node = tree::Node::parse(&self.content)?;
         let leaves = node.leaves();
-        let Some(generation) = leaves.get(FIELD) else {
+        let Some(generation) = leaves.get(GENERATION_FIELD) else {
             return Ok(id::Generation::default());
         };
         Ok(generation.parse()?)
     }
 
-    /// Writes the generation in force into the file, if the file names one.
+    /// Updates the generation in the file, if the file has that field, and
+    /// returns whether the file was written.
     ///
     /// # Errors
     ///
     /// Fails if the file can't be written.
-    pub fn record(&self, generation: id::Generation) -> eyre::Result<bool> {
+    pub fn update_generation(&self, generation: id::Generation) -> eyre::Result<bool> {
         let updated = with_generation(&self.content, generation);
-        if !self.content.lines().any(is_generation) || updated == self.content {
+        if !self.content.lines().any(is_generation_line) || updated == self.content {
             return Ok(false);
         }
         fs::write(&self.path, updated).wrap_err_with(|| {
             format!(
-                "{} can't be written; set `{FIELD}: {generation}` in it by hand",
+                "{} can't be written; set `{GENERATION_FIELD}: {generation}` in it by hand",
                 self.path
             )
         })?;
@@ -63,16 +69,16 @@
     }
 }
 
-/// Returns the text with its generation set to this one, on its first line if
-/// it names none.
+/// Returns the text with its generation replaced, or added as the first line if
+/// it has none.
 pub fn with_generation(content: &str, generation: id::Generation) -> String {
-    let line = format!("{FIELD}: {generation}");
-    if !content.lines().any(is_generation) {
+    let line = format!("{GENERATION_FIELD}: {generation}");
+    if !content.lines().any(is_generation_line) {
         return format!("{line}\n{content}");
     }
     let mut updated = String::with_capacity(content.len());
     for old in content.split_inclusive('\n') {
-        if is_generation(old) {
+        if is_generation_line(old) {
             updated.push_str(&line);
             updated.push('\n');
             continue;
@@ -82,6 +88,6 @@
     updated
 }
 
-fn is_generation(line: &str) -> bool {
+fn is_generation_line(line: &str) -> bool {
     line.starts_with("generation:")
 }
--- a/cli/src/hint.rs
+++ b/cli/src/hint.rs
@@ -1,12 +1,12 @@
-//! Errors with hints, and the exit code of each.
+//! Hints and exit codes of errors.
 
 use dottereltally_lib::{fault, id};
 use dottereltally_store::{host, kv, layout::Audit, proposal};
 
 use crate::command::Code;
 
-/// Prints an error with a hint and returns its exit code.
-pub fn explain(report: &eyre::Report) -> Code {
+/// Prints an error, its causes and a hint, and returns its exit code.
+pub fn print_error(report: &eyre::Report) -> Code {
     eprintln!("error: {report}");
     for cause in report.chain().skip(1) {
         eprintln!("cause: {cause}");
@@ -23,11 +23,13 @@
         return Code::BadInput;
     }
     if report.is::<kv::Error>() || report.is::<host::Error>() {
-        return Code::PlatformAway;
+        return Code::PlatformUnreachable;
     }
     match report.downcast_ref::<proposal::Error>() {
         Some(proposal::Error::Conflict { .. }) => Code::Conflict,
-        Some(proposal::Error::Platform(_) | proposal::Error::Unsettled(..)) => Code::PlatformAway,
+        Some(proposal::Error::Platform(_) | proposal::Error::Unsettled(..)) => {
+            Code::PlatformUnreachable
+        }
         Some(proposal::Error::Text(_)) => Code::BadInput,
         _ => Code::Failed,
     }
@@ -35,19 +37,19 @@
 
 fn hint(report: &eyre::Report, code: Code) -> Option<String> {
     if let Some(proposal::Error::Conflict { base, since, .. }) = report.downcast_ref() {
-        return Some(rebase(*base, since));
+        return Some(conflict_hint(*base, since));
     }
     match code {
-        Code::PlatformAway => Some(
-            "check --kv and --hosts, then the platform's service; nodes go on with what they have"
+        Code::PlatformUnreachable => Some(
+            "check --kv and --hosts, then the service itself; meanwhile nodes keep the configuration that they have"
                 .to_owned(),
         ),
         _ => None,
     }
 }
 
-fn rebase(base: id::Generation, since: &[Audit]) -> String {
-    let mut lines = vec![format!("since generation {base} others changed:")];
+fn conflict_hint(base: id::Generation, since: &[Audit]) -> String {
+    let mut lines = vec![format!("changes since generation {base}:")];
     for audit in since {
         let Audit {
             generation, author, ..
@@ -56,6 +58,6 @@
             lines.push(format!("  generation {generation} by {author}: {change}"));
         }
     }
-    lines.push("save the text in force with `dottereltallyctl show > NEW`, make your edit there, and apply NEW".to_owned());
+    lines.push("save the text in force with `dottereltallyctl show > NEW`, repeat your edit in NEW, and apply it".to_owned());
     lines.join("\n")
 }
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,32 +1,33 @@
 //! The operators' tool of dottereltally.
 
 mod command;
-mod connection;
+mod document;
 mod hint;
 mod output;
-mod page;
+mod platform;
 
 use std::process::ExitCode;
 
 use argh::FromArgs;
 use command::Command;
 
-/// Reads, checks and changes the operators' text, and shows what the nodes do.
+/// Reads, checks and changes the operators' text, and shows the state of the
+/// nodes.
 #[derive(Debug, FromArgs)]
 struct Arguments {
-    /// address of the key-value service, `ip:port`; may be repeated; else from
-    /// `DOTTERELTALLY_KV`, separated by commas
+    /// address of the key-value service, `ip:port`; may be repeated; default:
+    /// the comma-separated addresses in `DOTTERELTALLY_KV`
     #[argh(option)]
     kv: Vec<String>,
 
-    /// address of the host list, `http://ip:port/path`; else from
+    /// address of the host list, `http://ip:port/path`; default: the one in
     /// `DOTTERELTALLY_HOSTS`
     #[argh(option)]
     hosts: Option<String>,
 
-    /// form of the output: `text` or `json`
-    #[argh(option, default = "output::Form::Text")]
-    output: output::Form,
+    /// output format: `text` or `json`
+    #[argh(option, default = "output::Format::Text")]
+    output: output::Format,
 
     #[argh(subcommand)]
     command: Command,
@@ -35,10 +36,10 @@
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> ExitCode {
     let arguments: Arguments = argh::from_env();
-    let connection = connection::Connection::new(arguments.kv, arguments.hosts);
+    let platform = platform::Platform::new(arguments.kv, arguments.hosts);
     let printer = output::Printer::new(arguments.output);
-    match command::run(arguments.command, &connection, printer).await {
+    match command::run(arguments.command, &platform, printer).await {
         Ok(code) => code.into(),
-        Err(report) => hint::explain(&report).into(),
+        Err(report) => hint::print_error(&report).into(),
     }
 }
--- a/cli/src/output.rs
+++ b/cli/src/output.rs
@@ -1,13 +1,13 @@
-//! What the tool prints.
+//! Output of the tool, as text or JSON.
 
 use std::io::{self, Write};
 
 use derive_more::Display;
 
-/// Form of the output.
+/// Output format.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Form {
-    /// For people.
+pub enum Format {
+    /// Text for people.
     #[display("text")]
     Text,
     /// One JSON document.
@@ -15,40 +15,42 @@
     Json,
 }
 
-impl std::str::FromStr for Form {
+impl std::str::FromStr for Format {
     type Err = String;
 
     fn from_str(name: &str) -> Result<Self, String> {
         match name {
             "text" => Ok(Self::Text),
             "json" => Ok(Self::Json),
-            other => Err(format!("`{other}` is no form; use `text` or `json`")),
+            other => Err(format!(
+                "`{other}` is not an output format; use `text` or `json`"
+            )),
         }
     }
 }
 
-/// Prints results in the chosen form.
+/// Prints results in the chosen format.
 #[derive(Clone, Copy, Debug)]
 pub struct Printer {
-    form: Form,
+    format: Format,
 }
 
 impl Printer {
     /// Builds a printer.
-    pub fn new(form: Form) -> Self {
-        Self { form }
+    pub fn new(format: Format) -> Self {
+        Self { format }
     }
 
-    /// Prints a result: `text` for people, or `value` as JSON.
+    /// Prints a result: `text` as it is, or `value` as JSON.
     ///
     /// # Errors
     ///
     /// Fails if standard output is closed.
     pub fn print<T: serde::Serialize>(self, text: &str, value: &T) -> eyre::Result<()> {
         let mut out = io::stdout().lock();
-        match self.form {
-            Form::Text => writeln!(out, "{}", text.trim_end())?,
-            Form::Json => writeln!(out, "{}", serde_json::to_string_pretty(value)?)?,
+        match self.format {
+            Format::Text => writeln!(out, "{}", text.trim_end())?,
+            Format::Json => writeln!(out, "{}", serde_json::to_string_pretty(value)?)?,
         }
         Ok(())
     }
--- a/cli/src/connection.rs
+++ b/cli/src/platform.rs
@@ -1,4 +1,4 @@
-//! Connections to the platform and to the nodes.
+//! Access to the platform's services and to the nodes.
 
 use std::{env, time::Duration};
 
@@ -16,28 +16,32 @@
 use http_body_util::Full;
 use serde_json::Value;
 
+/// Time limit of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-const KV: &str = "DOTTERELTALLY_KV";
-const HOSTS: &str = "DOTTERELTALLY_HOSTS";
+/// Environment variable with the addresses of the key-value service.
+const KV_VARIABLE: &str = "DOTTERELTALLY_KV";
+/// Environment variable with the address of the host list.
+const HOSTS_VARIABLE: &str = "DOTTERELTALLY_HOSTS";
 
-/// Where the platform is.
+/// Addresses of the platform's services.
 #[derive(Clone, Debug)]
-pub struct Connection {
+pub struct Platform {
     kv: Vec<String>,
     hosts: Option<String>,
 }
 
-/// What one node says of itself.
+/// Status of one node.
 #[derive(Debug)]
 pub struct Report {
-    /// Its entry in the host list.
+    /// Entry of the node in the host list.
     pub entry: host::Entry,
-    /// Its status page.
+    /// Status page of the node, or why it could not be read.
     pub status: eyre::Result<Value>,
 }
 
 impl Report {
-    /// Returns the generation that the node has in force, zero if unknown.
+    /// Returns the generation that the node has in force, or zero if it is
+    /// unknown.
     pub fn generation(&self) -> id::Generation {
         let status = self.status.as_ref().ok();
         let generation = status.and_then(|status| status["generation"].as_u64());
@@ -45,18 +49,19 @@
     }
 }
 
-impl Connection {
-    /// Builds a connection from the options, else from the environment.
+impl Platform {
+    /// Takes the addresses from the options, or from the environment if an
+    /// option is not given.
     pub fn new(kv: Vec<String>, hosts: Option<String>) -> Self {
         let mut addresses = kv;
         if addresses.is_empty() {
-            let listed = env::var(KV).unwrap_or_default();
-            let named = listed.split(',').filter(|address| !address.is_empty());
-            addresses.extend(named.map(str::to_owned));
+            let variable = env::var(KV_VARIABLE).unwrap_or_default();
+            let parts = variable.split(',').filter(|address| !address.is_empty());
+            addresses.extend(parts.map(str::to_owned));
         }
         Self {
             kv: addresses,
-            hosts: hosts.or_else(|| env::var(HOSTS).ok()),
+            hosts: hosts.or_else(|| env::var(HOSTS_VARIABLE).ok()),
         }
     }
 
@@ -68,12 +73,12 @@
     pub fn store(&self) -> eyre::Result<etcd::Store> {
         ensure!(
             !self.kv.is_empty(),
-            "no key-value service; give `--kv IP:PORT` before the command or set {KV}"
+            "no key-value service; give `--kv IP:PORT` before the command or set {KV_VARIABLE}"
         );
         Ok(etcd::Store::new(self.kv.clone(), CALL_TIMEOUT))
     }
 
-    /// Asks every node of the host list for its status.
+    /// Reads the status of every node of the host list.
     ///
     /// # Errors
     ///
@@ -82,20 +87,20 @@
         let address = self.hosts.as_deref();
         let address = address.ok_or_else(|| {
             eyre::eyre!(
-                "no host list; give `--hosts http://IP:PORT/PATH` before the command or set {HOSTS}"
+                "no host list; give `--hosts http://IP:PORT/PATH` before the command or set {HOSTS_VARIABLE}"
             )
         })?;
         let list = hosts::List::new(address, CALL_TIMEOUT)?;
         let snapshot = list.read().await?;
         let reports = snapshot.entries.into_iter().map(|entry| async {
-            let status = status(&entry.operations).await;
+            let status = fetch_status(&entry.operations).await;
             Report { entry, status }
         });
         Ok(future::join_all(reports).await)
     }
 
-    /// Returns the highest generation that a node has in force, zero if none
-    /// can be asked.
+    /// Returns the highest generation that a node has in force, or zero if no
+    /// node answers.
     pub async fn highest_generation(&self) -> id::Generation {
         let reports = self.reports().await.unwrap_or_default();
         let generations = reports.iter().map(Report::generation);
@@ -103,7 +108,7 @@
     }
 }
 
-async fn status(address: &str) -> eyre::Result<Value> {
+async fn fetch_status(address: &str) -> eyre::Result<Value> {
     let client = Client::new(address.to_owned());
     let request = Request::get("/status")
         .header("host", address)
@@ -111,6 +116,6 @@
     let answer = client
         .call(&request, Limit::of(CALL_TIMEOUT))
         .await
-        .wrap_err_with(|| format!("{address} can't be asked; check the node and the network"))?;
+        .wrap_err_with(|| format!("no status from {address}; check the node and the network"))?;
     serde_json::from_slice(&answer.body).wrap_err("the status page is not JSON")
 }
--- a/cli/tests/test_cli.rs
+++ b/cli/tests/test_cli.rs
@@ -1,4 +1,4 @@
-//! The operators' tool as its users see it: output, hints and exit codes.
+//! Output, hints and exit codes of the operators' tool.
 
 use std::{
     fs,
@@ -16,7 +16,7 @@
 
 const SAMPLE: &str = include_str!("../../examples/demo.yaml");
 
-/// What one run of the tool gave.
+/// Result of one run of the tool; `raw` is the output before masking.
 struct Run {
     code: Option<i32>,
     output: String,
@@ -24,13 +24,13 @@
     raw: Vec<u8>,
 }
 
-/// The platform's stand-ins and a folder for files.
-struct Desk {
+/// Stand-ins for the platform's services and a folder for files.
+struct Fixture {
     platform: Deployment,
     folder: TempDir,
 }
 
-impl Desk {
+impl Fixture {
     async fn start() -> Result<Self> {
         Ok(Self {
             platform: Deployment::start().await?,
@@ -40,7 +40,7 @@
 
     fn file(&self, name: &str, content: &str) -> PathBuf {
         let path = self.folder.path().join(name);
-        fs::write(&path, content).expect("the folder takes files");
+        fs::write(&path, content).expect("the folder is writable");
         path
     }
 
@@ -48,7 +48,7 @@
         let (kv, hosts) = (self.platform.kv_address(), self.platform.hosts_url());
         let mut all = vec!["--kv", &kv, "--hosts", &hosts];
         all.extend(arguments);
-        tool(&all, "").await
+        run_tool(&all, "").await
     }
 
     async fn apply(&self, file: &Path, author: &str) -> Result<Run> {
@@ -57,7 +57,7 @@
     }
 }
 
-async fn tool(arguments: &[&str], input: &str) -> Result<Run> {
+async fn run_tool(arguments: &[&str], input: &str) -> Result<Run> {
     let mut child = Command::new(env!("CARGO_BIN_EXE_dottereltallyctl"))
         .args(arguments)
         .env_remove("DOTTERELTALLY_KV")
@@ -72,14 +72,14 @@
     let output = child.wait_with_output().await?;
     Ok(Run {
         code: output.status.code(),
-        output: stable(&String::from_utf8_lossy(&output.stdout)),
-        errors: stable(&String::from_utf8_lossy(&output.stderr)),
+        output: mask_all(&String::from_utf8_lossy(&output.stdout)),
+        errors: mask_all(&String::from_utf8_lossy(&output.stderr)),
         raw: output.stdout,
     })
 }
 
-/// Masks what differs between two runs: times, tokens, addresses and folders.
-fn stable(text: &str) -> String {
+/// Masks words that differ between two runs: times, tokens, addresses and paths.
+fn mask_all(text: &str) -> String {
     let mut lines = Vec::new();
     for line in text.lines() {
         let words: Vec<&str> = line.split(' ').map(mask).collect();
@@ -107,9 +107,9 @@
 
 #[tokio::test]
 async fn check_accepts_a_sample() -> Result<()> {
-    let desk = Desk::start().await?;
-    let file = desk.file("text.yaml", SAMPLE);
-    let run = tool(&["check", &file.to_string_lossy()], "").await?;
+    let fixture = Fixture::start().await?;
+    let file = fixture.file("text.yaml", SAMPLE);
+    let run = run_tool(&["check", &file.to_string_lossy()], "").await?;
     assert_eq!(run.code, Some(0));
     assert_snapshot!(run.output);
     Ok(())
@@ -117,83 +117,90 @@
 
 #[tokio::test]
 async fn check_lists_every_fault() -> Result<()> {
-    let desk = Desk::start().await?;
+    let fixture = Fixture::start().await?;
     let faulty = SAMPLE
         .replace("kind: plain", "kind: plian")
         .replace("deadline: 5s", "deadline: soon");
-    let file = desk.file("text.yaml", &faulty);
-    let run = tool(&["check", &file.to_string_lossy()], "").await?;
+    let file = fixture.file("text.yaml", &faulty);
+    let run = run_tool(&["check", &file.to_string_lossy()], "").await?;
     assert_eq!(run.code, Some(2));
     assert_snapshot!(run.errors);
-    let run = desk.apply(&file, "ana").await?;
+    let run = fixture.apply(&file, "ana").await?;
     assert_eq!(run.code, Some(2), "a faulty text is not applied");
-    assert_eq!(desk.run(&["show"]).await?.code, Some(1));
+    assert_eq!(fixture.run(&["show"]).await?.code, Some(1));
     Ok(())
 }
 
 #[tokio::test]
-async fn a_text_is_applied_shown_changed_and_audited() -> Result<()> {
-    let desk = Desk::start().await?;
-    let file = desk.file("text.yaml", SAMPLE);
-    let run = desk.apply(&file, "ana").await?;
+async fn a_configuration_is_applied_shown_changed_and_audited() -> Result<()> {
+    let fixture = Fixture::start().await?;
+    let file = fixture.file("text.yaml", SAMPLE);
+    let run = fixture.apply(&file, "ana").await?;
     assert_eq!(run.code, Some(0), "{}", run.errors);
     assert_snapshot!("first_apply", run.output);
-    let shown = desk.run(&["show"]).await?;
+    let shown = fixture.run(&["show"]).await?;
     assert_eq!(shown.output.lines().next(), Some("generation: 1"));
     let edited = shown.output.replace("deadline: 10s", "deadline: 12s");
-    let file = desk.file("text.yaml", &edited);
+    let file = fixture.file("text.yaml", &edited);
     let path = file.to_string_lossy().into_owned();
-    assert_snapshot!("diff", desk.run(&["diff", &path]).await?.output);
-    let run = desk.apply(&file, "boris").await?;
+    assert_snapshot!("diff", fixture.run(&["diff", &path]).await?.output);
+    let run = fixture.apply(&file, "boris").await?;
     assert_snapshot!("second_apply", run.output);
     assert!(fs::read_to_string(&file)?.starts_with("generation: 2\n"));
-    assert_snapshot!("history", desk.run(&["history"]).await?.output);
-    let run = desk.apply(&file, "boris").await?;
+    assert_snapshot!("history", fixture.run(&["history"]).await?.output);
+    let run = fixture.apply(&file, "boris").await?;
     assert_snapshot!("unchanged", run.output);
     Ok(())
 }
 
 #[tokio::test]
-async fn the_slower_of_two_edits_is_told_of_the_other() -> Result<()> {
-    let desk = Desk::start().await?;
-    let file = desk.file("first.yaml", SAMPLE);
-    desk.apply(&file, "ana").await?;
-    let shown = desk.run(&["show"]).await?.output;
-    let fast = desk.file(
+async fn the_later_of_two_concurrent_edits_gets_the_change_of_the_other() -> Result<()> {
+    let fixture = Fixture::start().await?;
+    let file = fixture.file("first.yaml", SAMPLE);
+    fixture.apply(&file, "ana").await?;
+    let shown = fixture.run(&["show"]).await?.output;
+    let fast = fixture.file(
         "fast.yaml",
         &shown.replace("deadline: 10s", "deadline: 12s"),
     );
-    let slow = desk.file("slow.yaml", &shown.replace("deadline: 5s", "deadline: 6s"));
-    assert_eq!(desk.apply(&fast, "boris").await?.code, Some(0));
-    let run = desk.apply(&slow, "vera").await?;
+    let slow = fixture.file("slow.yaml", &shown.replace("deadline: 5s", "deadline: 6s"));
+    assert_eq!(fixture.apply(&fast, "boris").await?.code, Some(0));
+    let run = fixture.apply(&slow, "vera").await?;
     assert_eq!(run.code, Some(3));
     assert_snapshot!(run.errors);
     Ok(())
 }
 
 #[tokio::test]
-async fn an_outage_of_the_platform_has_its_own_code() -> Result<()> {
-    let desk = Desk::start().await?;
-    let file = desk.file("text.yaml", SAMPLE);
-    desk.platform.switch("kv", &json!({"down": true})).await?;
-    let run = desk.apply(&file, "ana").await?;
+async fn an_outage_of_the_platform_has_its_own_exit_code() -> Result<()> {
+    let fixture = Fixture::start().await?;
+    let file = fixture.file("text.yaml", SAMPLE);
+    fixture
+        .platform
+        .switch("kv", &json!({"down": true}))
+        .await?;
+    let run = fixture.apply(&file, "ana").await?;
     assert_eq!(run.code, Some(4), "{}", run.errors);
-    desk.platform.switch("kv", &json!({"down": false})).await?;
-    assert_eq!(desk.run(&["show"]).await?.code, Some(1));
+    fixture
+        .platform
+        .switch("kv", &json!({"down": false}))
+        .await?;
+    assert_eq!(fixture.run(&["show"]).await?.code, Some(1));
     Ok(())
 }
 
 #[tokio::test]
-async fn an_apply_whose_answer_is_lost_ends_with_the_truth() -> Result<()> {
-    let desk = Desk::start().await?;
-    let file = desk.file("text.yaml", SAMPLE);
-    desk.platform
+async fn apply_resolves_a_lost_answer() -> Result<()> {
+    let fixture = Fixture::start().await?;
+    let file = fixture.file("text.yaml", SAMPLE);
+    fixture
+        .platform
         .switch("kv", &json!({"lose_answers": 1}))
         .await?;
-    let run = desk.apply(&file, "ana").await?;
+    let run = fixture.apply(&file, "ana").await?;
     assert_eq!(run.code, Some(0), "{}", run.errors);
     assert_snapshot!("first_apply", run.output);
-    let run = desk.run(&["--output", "json", "history"]).await?;
+    let run = fixture.run(&["--output", "json", "history"]).await?;
     let audits: Value = serde_json::from_slice(&run.raw)?;
     assert_eq!(audits.as_array().map(Vec::len), Some(1));
     Ok(())
@@ -204,11 +211,14 @@
 #[case("model", &["explain", "POST", "/v1/chat/completions", "--model", "disputes"])]
 #[case("none", &["explain", "GET", "/nowhere"])]
 #[tokio::test]
-async fn explain_names_the_call(#[case] name: &str, #[case] arguments: &[&str]) -> Result<()> {
-    let desk = Desk::start().await?;
-    let file = desk.file("text.yaml", SAMPLE);
-    desk.apply(&file, "ana").await?;
-    let run = desk.run(arguments).await?;
+async fn explain_prints_the_matching_call(
+    #[case] name: &str,
+    #[case] arguments: &[&str],
+) -> Result<()> {
+    let fixture = Fixture::start().await?;
+    let file = fixture.file("text.yaml", SAMPLE);
+    fixture.apply(&file, "ana").await?;
+    let run = fixture.run(arguments).await?;
     assert_snapshot!(
         format!("explain_{name}"),
         format!("{}{}", run.output, run.errors)
@@ -217,15 +227,15 @@
 }
 
 #[tokio::test]
-async fn digest_is_what_the_sample_lists() -> Result<()> {
-    let run = tool(&["digest"], "demo-key\n").await?;
+async fn digest_prints_what_the_sample_lists() -> Result<()> {
+    let run = run_tool(&["digest"], "demo-key\n").await?;
     assert!(SAMPLE.contains(run.output.trim()), "{}", run.output);
     Ok(())
 }
 
 #[tokio::test]
-async fn a_missing_address_names_the_option() -> Result<()> {
-    let run = tool(&["show"], "").await?;
+async fn a_missing_address_is_reported_with_its_option() -> Result<()> {
+    let run = run_tool(&["show"], "").await?;
     assert_eq!(run.code, Some(1));
     assert_snapshot!(run.errors);
     Ok(())
