--- a/store/src/etcd.rs
+++ b/store/src/etcd.rs
@@ -1,10 +1,11 @@
 //! Client of the etcd v3 JSON gateway.
 //!
-//! Every call has a time limit. A call that could not be handed over is tried
-//! at the next address; one that was handed over is repeated only if it
-//! writes nothing, because the caller has to settle a lost write.
+//! Every call has a time limit. A request that could not be sent is tried at
+//! the next address. One that was sent but not answered is retried only if
+//! that is harmless: whether a lost write took effect is for the caller to find
+//! out.
 
-mod fault;
+mod error;
 mod watch;
 mod wire;
 
@@ -23,7 +24,7 @@
 use tokio::time::Instant;
 
 use crate::{
-    etcd::fault::{classify, name_lease, refusal, unreachable, unreadable},
+    etcd::error::{classify, from_body, map_unknown_lease, unreachable, unreadable},
     http::{Answer, Client, Error as HttpError, Limit},
     kv::{self, Entry, Error, Lease, Outcome, Revision, Transaction},
 };
@@ -33,11 +34,13 @@
 /// Whether a call may be repeated after its answer was lost.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Effect {
+    /// The call may be repeated: a read, or the renewal of a lease.
     Read,
+    /// The call must not be repeated.
     Write,
 }
 
-/// Client of the key-value service; clones share its connections.
+/// Client of the key-value service; clones share their connections.
 #[derive(Clone)]
 pub struct Store(Arc<Inner>);
 
@@ -49,7 +52,7 @@
 
 impl Store {
     /// Builds a client of the `ip:port` addresses, with a time limit per call;
-    /// nothing is opened yet.
+    /// connections are opened by the first calls.
     #[must_use]
     pub fn new(addresses: Vec<String>, timeout: Duration) -> Self {
         Self(Arc::new(Inner {
@@ -70,48 +73,56 @@
     }
 
     /// Sends a request to one address after another within the time limit.
+    ///
+    /// Each attempt gets an equal share of the time that is left. A write that
+    /// was sent may use all of it, as there is no further attempt.
     async fn send(&self, path: &str, body: &[u8], effect: Effect) -> Result<Answer, Error> {
-        let end = Instant::now() + self.0.timeout;
-        let mut last = unreachable("no address", "none is set");
-        let mut left = u32::try_from(self.0.clients.len()).unwrap_or(u32::MAX);
+        let deadline = Instant::now() + self.0.timeout;
+        let mut last_error = unreachable("unknown address", "no address is configured");
+        let mut attempts_left = u32::try_from(self.0.clients.len()).unwrap_or(u32::MAX);
         if effect == Effect::Read {
-            // One more for a connection that has fallen silent.
-            left += 1;
+            // One more attempt, as the first may use a connection that is half-open.
+            attempts_left += 1;
         }
-        while left > 0 {
+        while attempts_left > 0 {
             let Some((index, client)) = self.clients().next() else {
                 break;
             };
-            let share = end.saturating_duration_since(Instant::now()) / left;
-            left -= 1;
-            let connect = Instant::now() + share;
-            let limit = Limit {
+            let attempt_timeout =
+                deadline.saturating_duration_since(Instant::now()) / attempts_left;
+            attempts_left -= 1;
+            let connect = Instant::now() + attempt_timeout;
+            let deadlines = Limit {
                 connect,
-                answer: if effect == Effect::Read { connect } else { end },
+                answer: if effect == Effect::Read {
+                    connect
+                } else {
+                    deadline
+                },
             };
             let request = request(client.address(), path, body)?;
-            let failure = match client.call(&request, limit).await {
+            let failure = match client.call(&request, deadlines).await {
                 Ok(answer) => return Ok(answer),
                 Err(failure) => failure,
             };
             self.prefer_next(index);
             match failure {
-                HttpError::Unsent(cause) => last = unreachable(client.address(), &cause),
+                HttpError::Unsent(cause) => last_error = unreachable(client.address(), &cause),
                 HttpError::Lost(cause) => {
-                    last = Error::Lost(format!("{}: {cause}", client.address()));
+                    last_error = Error::Lost(format!("{}: {cause}", client.address()));
                     if effect == Effect::Write {
                         break;
                     }
                 }
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
-    /// Moves on from an address that failed.
+    /// Prefers the next address if the one that failed is still preferred.
     fn prefer_next(&self, failed: usize) {
         let next = (failed + 1) % self.0.clients.len();
-        let _moved =
+        let _exchanged =
             self.0
                 .preferred
                 .compare_exchange(failed, next, Ordering::Relaxed, Ordering::Relaxed);
@@ -143,7 +154,7 @@
 
     async fn get(&self, key: &str) -> Result<Option<Entry>, Error> {
         let message = wire::RangeRequest {
-            key: wire::Data::from(key),
+            key: wire::Base64::from(key),
             ..wire::RangeRequest::default()
         };
         let entries = self.range(message).await?;
@@ -153,16 +164,16 @@
     async fn list(&self, prefix: &str, limit: usize) -> Result<Vec<Entry>, Error> {
         let limit = i64::try_from(limit).unwrap_or(i64::MAX);
         let message = wire::RangeRequest {
-            key: wire::Data::from(prefix),
-            range_end: Some(wire::Data(end_of(prefix))),
+            key: wire::Base64::from(prefix),
+            range_end: Some(wire::Base64(prefix_end(prefix))),
             limit: Some(wire::Number(limit)),
         };
         self.range(message).await
     }
 
     async fn transact(&self, transaction: Transaction) -> Result<Outcome, Error> {
-        let shape = wire::Shape::from(&transaction);
-        let effect = if shape.is_read() {
+        let read_mask = wire::ReadMask::from(&transaction);
+        let effect = if read_mask.is_read_only() {
             Effect::Read
         } else {
             Effect::Write
@@ -172,8 +183,8 @@
         let response: wire::TxnResponse = self
             .call("/v3/kv/txn", &message, effect)
             .await
-            .map_err(|error| name_lease(error, lease))?;
-        response.outcome(&shape).map_err(unreadable)
+            .map_err(|error| map_unknown_lease(error, lease))?;
+        response.outcome(&read_mask).map_err(unreadable)
     }
 
     async fn grant(&self, ttl: Duration) -> Result<Lease, Error> {
@@ -185,7 +196,7 @@
             .call("/v3/lease/grant", &message, Effect::Write)
             .await?;
         if response.id.0 == 0 {
-            return Err(Error::Unreadable("the lease has no number".to_owned()));
+            return Err(Error::Unreadable("the granted lease has no ID".to_owned()));
         }
         Ok(Lease(response.id.0))
     }
@@ -195,12 +206,12 @@
         let streamed: wire::Streamed<wire::LeaseResponse> = self
             .call("/v3/lease/keepalive", &message, Effect::Read)
             .await
-            .map_err(|error| name_lease(error, Some(lease)))?;
+            .map_err(|error| map_unknown_lease(error, Some(lease)))?;
         if let Some(error) = streamed.error {
-            return Err(name_lease(refusal(&error), Some(lease)));
+            return Err(map_unknown_lease(from_body(&error), Some(lease)));
         }
-        let left = streamed.result.map_or(0, |response| response.ttl.0);
-        match u64::try_from(left) {
+        let ttl = streamed.result.map_or(0, |response| response.ttl.0);
+        match u64::try_from(ttl) {
             Ok(seconds) if seconds > 0 => Ok(Duration::from_secs(seconds)),
             _ => Err(Error::UnknownLease(lease)),
         }
@@ -211,35 +222,35 @@
         let _done: wire::Empty = self
             .call("/v3/lease/revoke", &message, Effect::Write)
             .await
-            .map_err(|error| name_lease(error, Some(lease)))?;
+            .map_err(|error| map_unknown_lease(error, Some(lease)))?;
         Ok(())
     }
 
     async fn watch(&self, key: &str, from: Revision) -> Result<Watch, Error> {
         let message = wire::WatchRequest {
             create_request: wire::WatchCreate {
-                key: wire::Data::from(key),
+                key: wire::Base64::from(key),
                 start_revision: wire::Number(from.0),
                 progress_notify: true,
             },
         };
         let body = encode(&message)?;
-        let limit = Limit::of(self.0.timeout);
-        let mut last = unreachable("no address", "none is set");
+        let deadlines = Limit::of(self.0.timeout);
+        let mut last_error = unreachable("unknown address", "no address is configured");
         for (index, client) in self.clients() {
             let request = request(client.address(), "/v3/watch", &body)?;
-            let failure = match client.stream(request, limit).await {
+            let failure = match client.stream(request, deadlines).await {
                 Ok(stream) if stream.status() == StatusCode::OK => return Ok(Watch::new(stream)),
                 Ok(stream) => return Err(classify(stream.status(), &[])),
                 Err(failure) => failure,
             };
             self.prefer_next(index);
-            last = match failure {
+            last_error = match failure {
                 HttpError::Unsent(cause) => unreachable(client.address(), &cause),
                 HttpError::Lost(cause) => Error::Lost(format!("{}: {cause}", client.address())),
             };
         }
-        Err(last)
+        Err(last_error)
     }
 }
 
@@ -258,7 +269,7 @@
 }
 
 /// Returns the first key after all keys that start with `prefix`.
-fn end_of(prefix: &str) -> Vec<u8> {
+fn prefix_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
         if last < u8::MAX {
@@ -266,6 +277,6 @@
             return end;
         }
     }
-    // etcd reads a single zero byte as "to the end of all keys".
+    // There is no such key; etcd takes a single zero byte as the end of all keys.
     vec![0]
 }
--- a/store/src/etcd/fault.rs
+++ b/store/src/etcd/error.rs
@@ -1,6 +1,7 @@
-//! What the failures of a call stand for.
+//! Mapping of error answers to [`Error`].
 //!
-//! A call counts as one without effect only if the answer says so.
+//! An answer that does not rule out that the call took effect is mapped to
+//! [`Error::Lost`].
 
 use http::StatusCode;
 
@@ -9,13 +10,13 @@
     kv::{Error, Lease},
 };
 
-/// Message of etcd about a lease that has lapsed.
+/// Part of etcd's message about a lease that does not exist or has expired.
 const LEASE_NOT_FOUND: &str = "requested lease not found";
 
-/// Codes of gRPC after which a call can't have taken effect: invalid argument,
+/// gRPC status codes of calls that had no effect: invalid argument,
 /// not found, already exists, permission denied, resource exhausted, failed
 /// precondition, out of range, unimplemented, unauthenticated.
-const REFUSALS: [i64; 9] = [3, 5, 6, 7, 8, 9, 11, 12, 16];
+const NO_EFFECT_CODES: [i64; 9] = [3, 5, 6, 7, 8, 9, 11, 12, 16];
 
 pub(super) fn unreachable(address: &str, cause: &str) -> Error {
     Error::Unreachable {
@@ -25,16 +26,16 @@
 }
 
 #[expect(clippy::needless_pass_by_value, reason = "passed to map_err")]
-pub(super) fn unreadable(fault: wire::Fault) -> Error {
-    Error::Unreadable(fault.to_string())
+pub(super) fn unreadable(error: wire::Error) -> Error {
+    Error::Unreadable(error.to_string())
 }
 
-/// Returns the error that an answer other than 200 stands for.
+/// Converts an answer with a status other than 200.
 pub(super) fn classify(status: StatusCode, body: &[u8]) -> Error {
     if let Ok(error) = serde_json::from_slice::<wire::ErrorBody>(body)
         && error.code != 0
     {
-        return refusal(&error);
+        return from_body(&error);
     }
     let text = String::from_utf8_lossy(body);
     if status.is_client_error() && status != StatusCode::REQUEST_TIMEOUT {
@@ -43,16 +44,17 @@
     Error::Lost(format!("{status}: {text}"))
 }
 
-/// Returns the error that an error body stands for.
-pub(super) fn refusal(error: &wire::ErrorBody) -> Error {
-    if REFUSALS.contains(&error.code) {
+/// Converts the body of an error.
+pub(super) fn from_body(error: &wire::ErrorBody) -> Error {
+    if NO_EFFECT_CODES.contains(&error.code) {
         return Error::Refused(error.text().to_owned());
     }
     Error::Lost(error.text().to_owned())
 }
 
-/// Turns the refusal of a lapsed lease into its own error.
-pub(super) fn name_lease(error: Error, lease: Option<Lease>) -> Error {
+/// Converts a refusal because of an unknown lease to [`Error::UnknownLease`];
+/// returns other errors unchanged.
+pub(super) fn map_unknown_lease(error: Error, lease: Option<Lease>) -> Error {
     let Some(lease) = lease else {
         return error;
     };
--- a/store/src/etcd/watch.rs
+++ b/store/src/etcd/watch.rs
@@ -1,18 +1,18 @@
-//! A watch: a stream of JSON messages, one a line.
+//! Watches, which are streams of JSON messages, one per line.
 
 use crate::{
     etcd::{
-        fault::{refusal, unreadable},
+        error::{from_body, unreadable},
         wire,
     },
     http::Stream,
     kv::{self, Change, Error},
 };
 
-/// Size of one message of a watch at the most, bytes.
-const MESSAGE_LIMIT: usize = 16 << 20;
+/// Maximum size of one message of a watch.
+const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
-/// A running watch.
+/// Watch of one key.
 pub struct Watch {
     stream: Stream,
     pending: Vec<u8>,
@@ -34,8 +34,10 @@
                 line.pop();
                 return Ok(line);
             }
-            if self.pending.len() > MESSAGE_LIMIT {
-                return Err(Error::Unreadable("a message is too long".to_owned()));
+            if self.pending.len() > MAX_MESSAGE_BYTES {
+                return Err(Error::Unreadable(
+                    "a message of the watch is too long".to_owned(),
+                ));
             }
             let bytes = self
                 .stream
@@ -60,7 +62,7 @@
             let message: wire::Streamed<wire::WatchResponse> = serde_json::from_slice(&line)
                 .map_err(|error| Error::Unreadable(error.to_string()))?;
             if let Some(error) = message.error {
-                return Err(refusal(&error));
+                return Err(from_body(&error));
             }
             let Some(response) = message.result else {
                 continue;
--- a/store/src/etcd/wire.rs
+++ b/store/src/etcd/wire.rs
@@ -1,7 +1,7 @@
 //! Messages of the etcd v3 JSON gateway.
 //!
-//! Keys and values are base64, 64-bit numbers are strings; answers may carry
-//! them as JSON numbers too, and leave out fields that are zero.
+//! Keys and values are base64, 64-bit numbers are strings. Answers may also
+//! have them as JSON numbers, and leave out fields that are zero.
 
 mod scalar;
 
@@ -9,22 +9,22 @@
 
 use crate::kv::{Change, Compare, Entry, Lease, Operation, Outcome, Revision, Transaction};
 
-pub(super) use scalar::{Data, Number};
+pub(super) use scalar::{Base64, Number};
 
-/// A message that breaks the format.
+/// Error of an answer that is valid JSON but can't be interpreted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub(super) enum Fault {
+pub(super) enum Error {
     #[error("a key is not UTF-8")]
-    Key,
+    KeyEncoding,
     #[error("the answer has {found} results for {expected} operations")]
-    Results { found: usize, expected: usize },
+    ResultCount { found: usize, expected: usize },
 }
 
 #[derive(Debug, Default, Serialize)]
 pub(super) struct RangeRequest {
-    pub(super) key: Data,
+    pub(super) key: Base64,
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub(super) range_end: Option<Data>,
+    pub(super) range_end: Option<Base64>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(super) limit: Option<Number>,
 }
@@ -38,9 +38,9 @@
 #[derive(Debug, Default, Deserialize)]
 pub(super) struct KeyValue {
     #[serde(default)]
-    key: Data,
+    key: Base64,
     #[serde(default)]
-    value: Data,
+    value: Base64,
     #[serde(default)]
     create_revision: Number,
     #[serde(default)]
@@ -48,11 +48,11 @@
 }
 
 impl TryFrom<KeyValue> for Entry {
-    type Error = Fault;
+    type Error = Error;
 
-    fn try_from(wire: KeyValue) -> Result<Self, Fault> {
+    fn try_from(wire: KeyValue) -> Result<Self, Error> {
         Ok(Self {
-            key: String::from_utf8(wire.key.0).map_err(|_| Fault::Key)?,
+            key: String::from_utf8(wire.key.0).map_err(|_| Error::KeyEncoding)?,
             value: wire.value.0,
             created: Revision(wire.create_revision.0),
             modified: Revision(wire.mod_revision.0),
@@ -67,16 +67,16 @@
 }
 
 impl TryFrom<RangeResponse> for Vec<Entry> {
-    type Error = Fault;
+    type Error = Error;
 
-    fn try_from(wire: RangeResponse) -> Result<Self, Fault> {
+    fn try_from(wire: RangeResponse) -> Result<Self, Error> {
         wire.kvs.into_iter().map(Entry::try_from).collect()
     }
 }
 
 #[derive(Debug, Serialize)]
 pub(super) struct CompareMessage {
-    key: Data,
+    key: Base64,
     target: &'static str,
     result: &'static str,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -84,14 +84,14 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     mod_revision: Option<Number>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    value: Option<Data>,
+    value: Option<Base64>,
 }
 
 impl From<Compare> for CompareMessage {
     fn from(compare: Compare) -> Self {
         let (Compare::Absent(key) | Compare::Modified(key, _) | Compare::Value(key, _)) = &compare;
         let mut message = Self {
-            key: Data::from(key.as_str()),
+            key: Base64::from(key.as_str()),
             target: "",
             result: "EQUAL",
             create_revision: None,
@@ -109,7 +109,7 @@
             }
             Compare::Value(_, value) => {
                 message.target = "VALUE";
-                message.value = Some(Data(value));
+                message.value = Some(Base64(value));
             }
         }
         message
@@ -118,15 +118,15 @@
 
 #[derive(Debug, Serialize)]
 pub(super) struct PutRequest {
-    key: Data,
-    value: Data,
+    key: Base64,
+    value: Base64,
     #[serde(skip_serializing_if = "Option::is_none")]
     lease: Option<Number>,
 }
 
 #[derive(Debug, Serialize)]
 pub(super) struct DeleteRequest {
-    key: Data,
+    key: Base64,
 }
 
 #[derive(Debug, Serialize)]
@@ -143,15 +143,15 @@
     fn from(operation: Operation) -> Self {
         match operation {
             Operation::Put(key, value, lease) => Self::Put(PutRequest {
-                key: Data::from(key.as_str()),
-                value: Data(value),
+                key: Base64::from(key.as_str()),
+                value: Base64(value),
                 lease: lease.map(|lease| Number(lease.0)),
             }),
             Operation::Delete(key) => Self::Delete(DeleteRequest {
-                key: Data::from(key.as_str()),
+                key: Base64::from(key.as_str()),
             }),
             Operation::Get(key) => Self::Get(RangeRequest {
-                key: Data::from(key.as_str()),
+                key: Base64::from(key.as_str()),
                 ..RangeRequest::default()
             }),
         }
@@ -190,14 +190,14 @@
     responses: Vec<ResponseOperation>,
 }
 
-/// Whether each operation of a list is a read, by its position.
+/// Marks which operations of a transaction are reads, by their position.
 #[derive(Debug)]
-pub(super) struct Shape {
+pub(super) struct ReadMask {
     success: Vec<bool>,
     failure: Vec<bool>,
 }
 
-impl From<&Transaction> for Shape {
+impl From<&Transaction> for ReadMask {
     fn from(transaction: &Transaction) -> Self {
         let reads = |operations: &[Operation]| {
             operations
@@ -212,23 +212,23 @@
     }
 }
 
-impl Shape {
-    /// Returns whether the transaction writes nothing in either case.
-    pub(super) fn is_read(&self) -> bool {
+impl ReadMask {
+    /// Returns whether the transaction writes nothing, whichever list runs.
+    pub(super) fn is_read_only(&self) -> bool {
         self.success.iter().chain(&self.failure).all(|read| *read)
     }
 }
 
 impl TxnResponse {
-    /// Returns the outcome of the transaction of this shape.
-    pub(super) fn outcome(self, shape: &Shape) -> Result<Outcome, Fault> {
+    /// Converts the answer; `read_mask` is that of the transaction.
+    pub(super) fn outcome(self, read_mask: &ReadMask) -> Result<Outcome, Error> {
         let expected = if self.succeeded {
-            &shape.success
+            &read_mask.success
         } else {
-            &shape.failure
+            &read_mask.failure
         };
         if self.responses.len() != expected.len() {
-            return Err(Fault::Results {
+            return Err(Error::ResultCount {
                 found: self.responses.len(),
                 expected: expected.len(),
             });
@@ -281,7 +281,7 @@
 #[derive(Debug, Default, Deserialize)]
 pub(super) struct Empty {}
 
-/// One message of a stream.
+/// One message of a stream: a result or an error.
 #[derive(Debug, Deserialize)]
 pub(super) struct Streamed<T> {
     pub(super) result: Option<T>,
@@ -295,7 +295,7 @@
 
 #[derive(Debug, Serialize)]
 pub(super) struct WatchCreate {
-    pub(super) key: Data,
+    pub(super) key: Base64,
     pub(super) start_revision: Number,
     pub(super) progress_notify: bool,
 }
@@ -318,7 +318,7 @@
     kv: KeyValue,
 }
 
-/// Kind of an event; a write if it is left out.
+/// Kind of an event; `Put` if the field is left out.
 #[derive(Debug, Default, Deserialize)]
 enum Kind {
     #[default]
@@ -329,9 +329,9 @@
 }
 
 impl TryFrom<Event> for Change {
-    type Error = Fault;
+    type Error = Error;
 
-    fn try_from(event: Event) -> Result<Self, Fault> {
+    fn try_from(event: Event) -> Result<Self, Error> {
         let entry = Entry::try_from(event.kv)?;
         Ok(match event.kind {
             Kind::Put => Self::Put(entry),
@@ -340,7 +340,8 @@
     }
 }
 
-/// Body of an error; versions of the gateway fill either text.
+/// Body of an error; the version of the gateway decides which of the two texts
+/// is set.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub(super) struct ErrorBody {
     #[serde(default, alias = "grpc_code")]
--- a/store/src/etcd/wire/scalar.rs
+++ b/store/src/etcd/wire/scalar.rs
@@ -1,4 +1,4 @@
-//! Numbers and bytes as the gateway writes them.
+//! Numbers and bytes in the JSON encoding of the gateway.
 
 use std::fmt;
 
@@ -8,7 +8,7 @@
     de::{self, Visitor},
 };
 
-/// A 64-bit number, written as a string.
+/// A 64-bit number; serialized as a string.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(in crate::etcd) struct Number(pub(in crate::etcd) i64);
 
@@ -47,23 +47,23 @@
     }
 }
 
-/// Bytes, written in base64.
+/// Bytes; serialized in base64.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(in crate::etcd) struct Data(pub(in crate::etcd) Vec<u8>);
+pub(in crate::etcd) struct Base64(pub(in crate::etcd) Vec<u8>);
 
-impl From<&str> for Data {
+impl From<&str> for Base64 {
     fn from(text: &str) -> Self {
         Self(text.as_bytes().to_vec())
     }
 }
 
-impl Serialize for Data {
+impl Serialize for Base64 {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.serialize_str(&STANDARD.encode(&self.0))
     }
 }
 
-impl<'de> Deserialize<'de> for Data {
+impl<'de> Deserialize<'de> for Base64 {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = String::deserialize(deserializer)?;
         STANDARD.decode(text).map(Self).map_err(de::Error::custom)
--- a/store/src/host.rs
+++ b/store/src/host.rs
@@ -1,10 +1,10 @@
-//! The host list: which entry hosts and endpoints there are.
+//! The host list: the entry hosts and endpoints of the system.
 //!
 //! The format is Prometheus HTTP service discovery: a JSON array of groups
 //! with `targets` and `labels`. Labels in use: `role` (`entry` or
-//! `endpoint`), `name`, `data_centre`, `state` (`live` or `leaving`); for
-//! endpoints `service`; for entry hosts `operations`, the address of their
-//! operations pages (their target is the address for peers).
+//! `endpoint`), `name`, `data_centre` and `state` (`live` or `leaving`);
+//! endpoints also have `service`, and entry hosts `operations`, the address of
+//! their operations pages. The target of an entry host is its address for peers.
 
 use std::future::Future;
 
@@ -15,17 +15,17 @@
 pub struct Entry {
     /// Name of its node.
     pub node: id::Node,
-    /// Address where its peers reach it, `ip:port`.
+    /// Address for its peers, `ip:port`.
     pub address: String,
     /// Address of its operations pages, `ip:port`.
     pub operations: String,
     /// Its data centre.
     pub data_centre: id::DataCentre,
-    /// Whether it stays.
+    /// Whether it is live or leaving.
     pub standing: endpoint::Standing,
 }
 
-/// The host list as read at one moment.
+/// The host list at the time of one read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
     /// Entry hosts.
@@ -34,17 +34,17 @@
     pub endpoints: Vec<endpoint::Record>,
 }
 
-/// Why the host list could not be read.
+/// Error of a read of the host list.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// No answer.
+    /// The list could not be fetched.
     #[error(
         "the host list can't be read at {address}: {cause}; check `platform.hosts` in the settings and the service itself"
     )]
     Unreachable {
         /// Address that was tried.
         address: String,
-        /// What the connection said.
+        /// Error of the call, or what is wrong with the address.
         cause: String,
     },
     /// The answer is not a host list.
@@ -54,12 +54,12 @@
     Unreadable(String),
 }
 
-/// The host list.
+/// Source of the host list.
 pub trait List: Clone + Send + Sync + 'static {
     /// Reads the whole list.
     ///
     /// # Errors
     ///
-    /// Fails if the list can't be reached or understood.
+    /// Fails if the list can't be fetched or parsed.
     fn read(&self) -> impl Future<Output = Result<Snapshot, Error>> + Send;
 }
--- a/store/src/hosts.rs
+++ b/store/src/hosts.rs
@@ -1,4 +1,4 @@
-//! Client of the host list: Prometheus HTTP service discovery.
+//! Client of the host list, over Prometheus HTTP service discovery.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,10 +13,10 @@
     http::{self, Client},
 };
 
-/// Port of an address that names none.
+/// Port of an address without one.
 const DEFAULT_PORT: u16 = 80;
 
-/// Client of the host list; clones share its connections.
+/// Client of the host list; clones share their connections.
 #[derive(Clone)]
 pub struct List(Arc<Inner>);
 
@@ -28,23 +28,21 @@
 
 impl List {
     /// Builds a client of `http://ip:port/path`, with a time limit per read;
-    /// nothing is opened yet.
+    /// connections are opened by the first read.
     ///
     /// # Errors
     ///
     /// Fails if the address is not of that form.
     pub fn new(address: &str, timeout: Duration) -> Result<Self, Error> {
-        let unusable = |cause: &str| Error::Unreachable {
+        let invalid = |cause: &str| Error::Unreachable {
             address: address.to_owned(),
             cause: cause.to_owned(),
         };
-        let uri: Uri = address
-            .parse()
-            .map_err(|_| unusable("it is not an address"))?;
+        let uri: Uri = address.parse().map_err(|_| invalid("it is not a URL"))?;
         if uri.scheme_str() != Some("http") {
-            return Err(unusable("it must start with http://"));
+            return Err(invalid("it must start with http://"));
         }
-        let host = uri.host().ok_or_else(|| unusable("it names no host"))?;
+        let host = uri.host().ok_or_else(|| invalid("it has no host"))?;
         let port = uri.port_u16().unwrap_or(DEFAULT_PORT);
         let path = uri.path_and_query().map_or("/", |path| path.as_str());
         Ok(Self(Arc::new(Inner {
@@ -77,12 +75,12 @@
     }
 }
 
-/// Reads a host list from its JSON.
+/// Parses a host list.
 ///
 /// # Errors
 ///
 /// Fails if it is not Prometheus HTTP service discovery with the labels that
-/// [`host`] names.
+/// [`host`] describes.
 pub fn parse(json: &[u8]) -> Result<Snapshot, Error> {
     let groups: Vec<Group> =
         serde_json::from_slice(json).map_err(|error| Error::Unreadable(error.to_string()))?;
@@ -113,7 +111,7 @@
     operations: Option<String>,
 }
 
-/// What a host is for.
+/// Role of a host; hosts with another role are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Role {
@@ -123,7 +121,7 @@
     Other,
 }
 
-/// Whether a host stays.
+/// State of a host.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum State {
@@ -141,7 +139,7 @@
 }
 
 impl Group {
-    /// Adds the host; hosts of other roles are passed over.
+    /// Adds the host to `snapshot`, unless it has another role.
     fn add_to(self, snapshot: &mut Snapshot) -> Result<(), Error> {
         let labels = self.labels;
         if labels.role == Role::Other {
@@ -149,7 +147,7 @@
         }
         let name = labels.name;
         let Some(address) = self.targets.into_iter().next() else {
-            return Err(Error::Unreadable(format!("{name} has no target")));
+            return Err(Error::Unreadable(format!("host {name} has no target")));
         };
         let data_centre = id::DataCentre::from(labels.data_centre);
         let standing = labels.state.into();
@@ -164,7 +162,9 @@
             return Ok(());
         }
         let Some(service) = labels.service else {
-            return Err(Error::Unreadable(format!("{name} names no service")));
+            return Err(Error::Unreadable(format!(
+                "endpoint {name} has no `service` label"
+            )));
         };
         snapshot.endpoints.push(endpoint::Record {
             id: id::Endpoint::from(name),
--- a/store/src/http.rs
+++ b/store/src/http.rs
@@ -1,7 +1,8 @@
-//! HTTP/1.1 client for the platform's services: one address, kept connections.
+//! HTTP/1.1 client for the platform's services, with a pool of connections to
+//! one address.
 //!
-//! A connection on which an answer failed to come is closed together with all
-//! idle ones, as they may have gone silent in the same way.
+//! If a call gets no answer, its connection is closed together with all idle
+//! ones, as they may be half-open for the same reason.
 
 use std::{
     io,
@@ -19,27 +20,27 @@
 use hyper_util::rt::TokioIo;
 use tokio::{net::TcpStream, task::AbortHandle, time};
 
-/// Number of idle connections that are kept.
-const IDLE_LIMIT: usize = 8;
+/// Maximum number of idle connections that are kept.
+const MAX_IDLE_CONNECTIONS: usize = 8;
 
 /// Time for which an idle connection is kept.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Size of an answer at the most, bytes.
-const ANSWER_LIMIT: usize = 16 << 20;
+/// Maximum size of an answer's body.
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// Why a call failed.
+/// Error of a call.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// Nothing was handed over.
+    /// The request was not sent.
     #[error("not sent: {0}")]
     Unsent(String),
-    /// The call was handed over and has no answer.
+    /// The request was or may have been sent, but was not answered.
     #[error("no answer: {0}")]
     Lost(String),
 }
 
-/// Until when a call waits.
+/// Deadlines of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct Limit {
     /// For the connection.
@@ -49,18 +50,18 @@
 }
 
 impl Limit {
-    /// Builds a limit that is the same for the connection and the answer.
+    /// Builds deadlines that are both `timeout` from now.
     #[must_use]
-    pub fn of(span: Duration) -> Self {
-        let end = time::Instant::now() + span;
+    pub fn of(timeout: Duration) -> Self {
+        let deadline = time::Instant::now() + timeout;
         Self {
-            connect: end,
-            answer: end,
+            connect: deadline,
+            answer: deadline,
         }
     }
 }
 
-/// A whole answer.
+/// An answer with its complete body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// Its status.
@@ -119,7 +120,7 @@
     async fn exchange(&mut self, request: Request<Full<Bytes>>) -> Result<Answer, Error> {
         let response = self.send(request).await?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), ANSWER_LIMIT)
+        let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES)
             .collect()
             .await
             .map_err(|error| Error::Lost(error.to_string()))?;
@@ -130,7 +131,8 @@
     }
 }
 
-/// An answer whose body goes on; dropping it closes its connection.
+/// An answer whose body is read as it arrives; dropping it closes its
+/// connection.
 pub struct Stream {
     body: Incoming,
     status: StatusCode,
@@ -144,7 +146,7 @@
         self.status
     }
 
-    /// Returns the next bytes, none at the end.
+    /// Returns the next bytes, or `None` at the end of the body.
     ///
     /// # Errors
     ///
@@ -160,27 +162,28 @@
     }
 }
 
-/// An idle connection and the moment from which it was idle.
+/// An idle connection and the time since when it is idle.
 struct Idle {
     connection: Connection,
     since: time::Instant,
 }
 
-/// Closes the idle connections of a client unless a call is answered, also if
-/// the call is dropped.
-struct Doubt<'a>(Option<&'a Client>);
+/// Guard of a call that closes the idle connections of its client on drop,
+/// unless it is disarmed by an answer. This covers calls that are cancelled by
+/// dropping their future.
+struct IdleGuard<'a>(Option<&'a Client>);
 
-impl<'a> Doubt<'a> {
-    fn of(client: &'a Client) -> Self {
+impl<'a> IdleGuard<'a> {
+    fn new(client: &'a Client) -> Self {
         Self(Some(client))
     }
 
-    fn dispel(&mut self) {
+    fn disarm(&mut self) {
         self.0 = None;
     }
 }
 
-impl Drop for Doubt<'_> {
+impl Drop for IdleGuard<'_> {
     fn drop(&mut self) {
         if let Some(client) = self.0 {
             client.lock().clear();
@@ -195,7 +198,7 @@
 }
 
 impl Client {
-    /// Builds a client of `ip:port`; nothing is opened yet.
+    /// Builds a client of `ip:port`; connections are opened by the first calls.
     #[must_use]
     pub fn new(address: String) -> Self {
         Self {
@@ -210,32 +213,35 @@
         &self.address
     }
 
-    /// Sends a request and waits for its whole answer.
+    /// Sends a request and waits for the complete answer.
+    ///
+    /// A request that could not be sent on an idle connection is tried again
+    /// on another one.
     ///
     /// # Errors
     ///
-    /// Fails with [`Error::Unsent`] only if nothing was handed over.
+    /// Fails with [`Error::Unsent`] only if the request was not sent.
     pub async fn call(
         &self,
         request: &Request<Full<Bytes>>,
-        limit: Limit,
+        deadlines: Limit,
     ) -> Result<Answer, Error> {
-        let mut doubt = Doubt::of(self);
+        let mut guard = IdleGuard::new(self);
         loop {
-            let idle = self.take();
+            let idle = self.take_idle();
             let reused = idle.is_some();
             let mut connection = match idle {
                 Some(connection) => connection,
-                None => self.open(limit.connect).await?,
+                None => self.open(deadlines.connect).await?,
             };
             let exchange = connection.exchange(request.clone());
-            let result = time::timeout_at(limit.answer, exchange)
+            let result = time::timeout_at(deadlines.answer, exchange)
                 .await
-                .unwrap_or_else(|_| Err(Error::Lost("time limit".to_owned())));
+                .unwrap_or_else(|_| Err(Error::Lost("timed out".to_owned())));
             match result {
                 Ok(answer) => {
-                    doubt.dispel();
-                    self.keep(connection);
+                    guard.disarm();
+                    self.keep_idle(connection);
                     return Ok(answer);
                 }
                 Err(Error::Unsent(_)) if reused => {}
@@ -244,21 +250,21 @@
         }
     }
 
-    /// Sends a request on a connection of its own and waits for the head of
-    /// its answer.
+    /// Sends a request on a new connection and waits for the head of the
+    /// answer.
     ///
     /// # Errors
     ///
-    /// Fails with [`Error::Unsent`] only if nothing was handed over.
+    /// Fails with [`Error::Unsent`] only if the request was not sent.
     pub async fn stream(
         &self,
         request: Request<Full<Bytes>>,
-        limit: Limit,
+        deadlines: Limit,
     ) -> Result<Stream, Error> {
-        let mut connection = self.open(limit.connect).await?;
-        let response = time::timeout_at(limit.answer, connection.send(request))
+        let mut connection = self.open(deadlines.connect).await?;
+        let response = time::timeout_at(deadlines.answer, connection.send(request))
             .await
-            .unwrap_or_else(|_| Err(Error::Lost("time limit".to_owned())))?;
+            .unwrap_or_else(|_| Err(Error::Lost("timed out".to_owned())))?;
         Ok(Stream {
             status: response.status(),
             body: response.into_body(),
@@ -269,14 +275,14 @@
     async fn open(&self, deadline: time::Instant) -> Result<Connection, Error> {
         time::timeout_at(deadline, Connection::open(&self.address))
             .await
-            .unwrap_or_else(|_| Err(Error::Unsent("time limit of the connection".to_owned())))
+            .unwrap_or_else(|_| Err(Error::Unsent("timed out while connecting".to_owned())))
     }
 
     fn lock(&self) -> MutexGuard<'_, Vec<Idle>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn take(&self) -> Option<Connection> {
+    fn take_idle(&self) -> Option<Connection> {
         let mut idle = self.lock();
         while let Some(candidate) = idle.pop() {
             if candidate.since.elapsed() > IDLE_TIMEOUT || candidate.connection.sender.is_closed() {
@@ -287,12 +293,12 @@
         None
     }
 
-    fn keep(&self, connection: Connection) {
+    fn keep_idle(&self, connection: Connection) {
         if connection.sender.is_closed() {
             return;
         }
         let mut idle = self.lock();
-        if idle.len() < IDLE_LIMIT {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(Idle {
                 connection,
                 since: time::Instant::now(),
--- a/store/tests/test_etcd.rs
+++ b/store/tests/test_etcd.rs
@@ -1,4 +1,4 @@
-//! The etcd client against the stand-in, and its view of broken answers.
+//! The etcd client, against a stand-in for etcd and against canned answers.
 
 use std::time::Duration;
 
@@ -22,11 +22,11 @@
 
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-async fn stand_in() -> Result<Addresses> {
+async fn start_kv() -> Result<Addresses> {
     server::start(Kv::start(), "127.0.0.1:0".parse()?).await
 }
 
-async fn set(kv: &Addresses, change: serde_json::Value) -> Result<()> {
+async fn set_switches(kv: &Addresses, change: serde_json::Value) -> Result<()> {
     switch(&kv.control.to_string(), &change).await
 }
 
@@ -40,8 +40,8 @@
     Ok(listener.local_addr()?.to_string())
 }
 
-/// Answers each connection's first request with the same bytes.
-async fn canned(answer: String) -> Result<String> {
+/// Answers the first request of each connection with the same bytes.
+async fn serve_canned(answer: String) -> Result<String> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?.to_string();
     tokio::spawn(async move {
@@ -75,7 +75,7 @@
 
 #[tokio::test]
 async fn a_transaction_compares_writes_and_reads() -> Result<()> {
-    let kv = stand_in().await?;
+    let kv = start_kv().await?;
     let store = store(&kv);
     let first = store.transact(create("k", "a", None)).await?;
     assert!(first.succeeded);
@@ -105,7 +105,7 @@
 
 #[tokio::test]
 async fn a_prefix_is_listed_in_order_and_bounded() -> Result<()> {
-    let kv = stand_in().await?;
+    let kv = start_kv().await?;
     let store = store(&kv);
     for key in ["a/2", "a/1", "b", "a/3"] {
         store.transact(create(key, "x", None)).await?;
@@ -120,7 +120,7 @@
 
 #[tokio::test]
 async fn a_lease_is_granted_renewed_and_revoked_and_unknown_after_that() -> Result<()> {
-    let kv = stand_in().await?;
+    let kv = start_kv().await?;
     let store = store(&kv);
     let ttl = Duration::from_mins(1);
     let lease = store.grant(ttl).await?;
@@ -138,7 +138,7 @@
 
 #[tokio::test]
 async fn a_watch_reports_changes_as_they_come() -> Result<()> {
-    let kv = stand_in().await?;
+    let kv = start_kv().await?;
     let store = store(&kv);
     let first = store.transact(create("k", "a", None)).await?;
     let mut watch = store.watch("k", first.revision).await?;
@@ -153,13 +153,13 @@
         watch.next().await?,
         [Change::Deleted("k".to_owned(), deleted.revision)]
     );
-    set(&kv, json!({"down": true})).await?;
+    set_switches(&kv, json!({"down": true})).await?;
     assert!(watch.next().await.is_err());
     Ok(())
 }
 
 #[tokio::test]
-async fn an_address_that_refuses_had_no_effect() -> Result<()> {
+async fn a_refused_connection_means_no_effect() -> Result<()> {
     let store = Store::new(vec![closed_address().await?], TIMEOUT);
     let error = store.transact(create("k", "a", None)).await.unwrap_err();
     assert!(matches!(error, Error::Unreachable { .. }), "{error}");
@@ -168,7 +168,7 @@
 
 #[tokio::test]
 async fn the_next_address_is_tried() -> Result<()> {
-    let kv = stand_in().await?;
+    let kv = start_kv().await?;
     let addresses = vec![closed_address().await?, kv.address.to_string()];
     let store = Store::new(addresses, TIMEOUT);
     assert!(store.transact(create("k", "a", None)).await?.succeeded);
@@ -177,10 +177,10 @@
 }
 
 #[tokio::test]
-async fn a_write_whose_answer_is_lost_is_handed_over_once() -> Result<()> {
-    let kv = stand_in().await?;
+async fn a_write_whose_answer_is_lost_is_sent_once() -> Result<()> {
+    let kv = start_kv().await?;
     let store = store(&kv);
-    set(&kv, json!({"lose_answers": 1})).await?;
+    set_switches(&kv, json!({"lose_answers": 1})).await?;
     let error = store.transact(create("k", "a", None)).await.unwrap_err();
     assert!(matches!(error, Error::Lost(_)), "{error}");
     let again = store.transact(create("k", "b", None)).await?;
@@ -191,26 +191,26 @@
 
 #[tokio::test]
 async fn a_write_that_hangs_is_lost_at_its_time_limit() -> Result<()> {
-    let kv = stand_in().await?;
+    let kv = start_kv().await?;
     let store = Store::new(vec![kv.address.to_string()], Duration::from_millis(200));
-    set(&kv, json!({"hold_after": true})).await?;
+    set_switches(&kv, json!({"hold_after": true})).await?;
     let error = store.transact(create("k", "a", None)).await.unwrap_err();
     assert!(matches!(error, Error::Lost(_)), "{error}");
-    set(&kv, json!({"hold_after": false})).await?;
+    set_switches(&kv, json!({"hold_after": false})).await?;
     assert!(store.get("k").await?.is_some());
     Ok(())
 }
 
 #[tokio::test]
-async fn a_connection_that_fell_silent_is_replaced() -> Result<()> {
-    let kv = stand_in().await?;
+async fn a_silent_connection_is_replaced() -> Result<()> {
+    let kv = start_kv().await?;
     let store = store(&kv);
     store.transact(create("k", "a", None)).await?;
-    set(&kv, json!({"silent": "existing"})).await?;
-    // The read is tried once more on a new connection.
+    set_switches(&kv, json!({"silent": "existing"})).await?;
+    // The read is retried on a new connection.
     assert!(store.get("k").await?.is_some());
-    set(&kv, json!({"silent": "existing"})).await?;
-    // The write is not, but its repeat gets a new connection.
+    set_switches(&kv, json!({"silent": "existing"})).await?;
+    // The write is not retried, but the next call gets a new connection.
     let write = store.transact(create("l", "a", None)).await;
     assert!(matches!(write, Err(Error::Lost(_))), "{write:?}");
     assert!(store.transact(create("l", "b", None)).await.is_ok());
@@ -218,30 +218,30 @@
 }
 
 #[tokio::test]
-async fn silent_connections_are_all_replaced_though_their_calls_are_dropped() -> Result<()> {
-    let kv = stand_in().await?;
+async fn a_dropped_call_closes_all_silent_connections() -> Result<()> {
+    let kv = start_kv().await?;
     let store = store(&kv);
     let reads = [store.get("k"), store.get("k"), store.get("k")];
     for read in futures_util::future::join_all(reads).await {
         read?;
     }
-    set(&kv, json!({"silent": "existing"})).await?;
+    set_switches(&kv, json!({"silent": "existing"})).await?;
     let dropped = time::timeout(Duration::from_millis(100), store.get("k")).await;
     assert!(dropped.is_err());
-    let connect_and_read = store.transact(create("k", "a", None)).await?;
-    assert!(connect_and_read.succeeded);
+    let outcome = store.transact(create("k", "a", None)).await?;
+    assert!(outcome.succeeded);
     Ok(())
 }
 
 #[tokio::test]
-async fn a_kept_connection_that_the_service_closed_is_replaced() -> Result<()> {
-    let kv = stand_in().await?;
+async fn an_idle_connection_closed_by_the_service_is_replaced() -> Result<()> {
+    let kv = start_kv().await?;
     let store = store(&kv);
     store.transact(create("k", "a", None)).await?;
-    set(&kv, json!({"down": true})).await?;
+    set_switches(&kv, json!({"down": true})).await?;
     let refused = store.transact(create("l", "a", None)).await;
     assert!(refused.is_err());
-    set(&kv, json!({"down": false})).await?;
+    set_switches(&kv, json!({"down": false})).await?;
     assert!(store.transact(create("l", "a", None)).await?.succeeded);
     Ok(())
 }
@@ -276,16 +276,16 @@
     #[case] body: &str,
     #[case] may_have: bool,
 ) -> Result<()> {
-    let store = Store::new(vec![canned(http(status, body)).await?], TIMEOUT);
+    let store = Store::new(vec![serve_canned(http(status, body)).await?], TIMEOUT);
     let error = store.transact(create("k", "a", None)).await.unwrap_err();
     assert_eq!(error.may_have_taken_effect(), may_have, "{error}");
     Ok(())
 }
 
 #[tokio::test]
-async fn numbers_may_come_as_numbers() -> Result<()> {
+async fn numbers_are_read_from_json_numbers_and_strings() -> Result<()> {
     let body = r#"{"header": {"revision": 7}, "kvs": [{"key": "aw==", "value": "YQ==", "create_revision": 3, "mod_revision": "5"}], "count": 1}"#;
-    let store = Store::new(vec![canned(http("200 OK", body)).await?], TIMEOUT);
+    let store = Store::new(vec![serve_canned(http("200 OK", body)).await?], TIMEOUT);
     let entry = store.get("k").await?.expect("the key");
     assert_eq!((entry.created, entry.modified), (Revision(3), Revision(5)));
     assert_eq!(entry.value, b"a");
@@ -293,7 +293,7 @@
 }
 
 #[tokio::test]
-async fn a_watch_passes_over_progress_and_ends_when_it_is_cancelled() -> Result<()> {
+async fn a_watch_skips_progress_messages_and_ends_when_it_is_cancelled() -> Result<()> {
     let lines = [
         r#"{"result": {"header": {}, "created": true}}"#,
         r#"{"result": {"header": {"revision": "9"}}}"#,
@@ -302,7 +302,7 @@
         r#"{"result": {"header": {}, "canceled": true, "cancel_reason": "compacted"}}"#,
     ];
     let body = lines.join("\n") + "\n";
-    let store = Store::new(vec![canned(http("200 OK", &body)).await?], TIMEOUT);
+    let store = Store::new(vec![serve_canned(http("200 OK", &body)).await?], TIMEOUT);
     let mut watch = store.watch("k", Revision(9)).await?;
     let changes = watch.next().await?;
     assert!(matches!(&changes[0], Change::Put(entry) if entry.value == b"a"));
--- a/store/tests/test_hosts.rs
+++ b/store/tests/test_hosts.rs
@@ -1,4 +1,4 @@
-//! The host list is read whole or not at all.
+//! The client of the host list: a list is accepted completely or not at all.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
   {"targets": [], "labels": {"role": "balancer", "name": "b", "data_centre": "plovdiv", "state": "live"}}
 ]"#;
 
-/// Answers each connection's first request with a status and a body.
+/// Answers the first request of each connection with a status and a body.
 async fn serve(status: &'static str, body: &'static str) -> Result<String> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
@@ -81,7 +81,7 @@
 #[case("127.0.0.1:1/targets")]
 #[case("https://127.0.0.1:1/targets")]
 #[case("")]
-fn an_unusable_address_is_refused(#[case] address: &str) {
+fn an_invalid_address_is_refused(#[case] address: &str) {
     assert!(List::new(address, TIMEOUT).is_err());
 }
 
