--- a/cli/src/command/history.rs
+++ b/cli/src/command/history.rs
@@ -19,7 +19,7 @@
     /// Runs the command.
     pub async fn run(&self, platform: &Platform, printer: Printer) -> eyre::Result<Code> {
         let store = platform.store()?;
-        let mut audits = proposal::since(&store, id::Generation::default()).await?;
+        let mut audits = proposal::audits_since(&store, id::Generation::default()).await?;
         audits.reverse();
         audits.truncate(self.limit);
         printer.print(&describe(&audits), &audits)?;
--- a/cli/src/hint.rs
+++ b/cli/src/hint.rs
@@ -27,7 +27,7 @@
     }
     match report.downcast_ref::<proposal::Error>() {
         Some(proposal::Error::Conflict { .. }) => Code::Conflict,
-        Some(proposal::Error::Platform(_) | proposal::Error::Unsettled(..)) => {
+        Some(proposal::Error::Platform(_) | proposal::Error::Indeterminate(..)) => {
             Code::PlatformUnreachable
         }
         Some(proposal::Error::Text(_)) => Code::BadInput,
--- a/store/src/kv.rs
+++ b/store/src/kv.rs
@@ -1,10 +1,10 @@
-//! The key-value service as the rest of the system sees it.
+//! Trait and data types of the key-value service.
 
 use std::{future::Future, time::Duration};
 
 use derive_more::Display;
 
-/// Number of a change in the key-value service.
+/// Revision of the key-value service, a counter that every change raises.
 #[derive(Clone, Copy, Debug, Display, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Revision(pub i64);
 
@@ -21,16 +21,16 @@
     pub value: Vec<u8>,
     /// Revision that created the key.
     pub created: Revision,
-    /// Revision that changed it last.
+    /// Revision that last modified the key.
     pub modified: Revision,
 }
 
-/// Condition of a transaction; all have to hold.
+/// Condition of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Compare {
     /// The key does not exist.
     Absent(String),
-    /// The key was last changed by this revision.
+    /// The key was last modified by this revision.
     Modified(String, Revision),
     /// The key has this value.
     Value(String, Vec<u8>),
@@ -47,19 +47,20 @@
     Get(String),
 }
 
-/// Transaction: compares, and one of two lists of operations.
+/// Transaction that runs one of two lists of operations, depending on its
+/// conditions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Transaction {
-    /// Conditions.
+    /// Conditions, all of which must hold for `success` to run.
     pub compares: Vec<Compare>,
-    /// Run if all conditions hold.
+    /// Operations that run if all conditions hold.
     pub success: Vec<Operation>,
-    /// Run otherwise.
+    /// Operations that run otherwise.
     pub failure: Vec<Operation>,
 }
 
 impl Transaction {
-    /// Returns the first lease that an operation is bound to.
+    /// Returns the first lease that a written key is bound to.
     #[must_use]
     pub fn lease(&self) -> Option<Lease> {
         for operation in self.success.iter().chain(&self.failure) {
@@ -78,42 +79,42 @@
     pub succeeded: bool,
     /// Revision of the store after the transaction.
     pub revision: Revision,
-    /// What the `Get` operations of the list that ran found, in order.
+    /// Results of the `Get` operations that ran, in order.
     pub reads: Vec<Option<Entry>>,
 }
 
-/// What a watch reports.
+/// Change of a key, as a watch reports it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The key got a value.
+    /// The key was written.
     Put(Entry),
-    /// The key was deleted.
+    /// The key was deleted by this revision.
     Deleted(String, Revision),
 }
 
-/// Why a call of the key-value service failed.
+/// Error of a call to the key-value service.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Error {
-    /// Nothing was handed over; the call had no effect.
+    /// The request was not sent; the call had no effect.
     #[error(
         "the key-value service can't be reached at {address}: {cause}; check `platform.kv` in the settings and the service itself"
     )]
     Unreachable {
         /// Address that was tried.
         address: String,
-        /// What the connection said.
+        /// Error of the connection.
         cause: String,
     },
-    /// The call may have taken effect.
+    /// The request was sent but not answered; the call may have taken effect.
     #[error("no answer from the key-value service: {0}; read the key back before trying again")]
     Lost(String),
     /// The service answered with an error; the call had no effect.
     #[error("the key-value service refused the call: {0}")]
     Refused(String),
-    /// The lease is not known (any more); the call had no effect.
+    /// The lease does not exist or has expired; the call had no effect.
     #[error("the key-value service does not know lease {0}; grant a new one")]
     UnknownLease(Lease),
-    /// The answer could not be understood; the call may have taken effect.
+    /// The answer could not be decoded; the call may have taken effect.
     #[error(
         "the key-value service gave an unreadable answer: {0}; check that it speaks the etcd v3 JSON gateway"
     )]
@@ -121,16 +122,16 @@
 }
 
 impl Error {
-    /// Returns whether the call can have taken effect.
+    /// Returns whether the call may have taken effect.
     #[must_use]
     pub const fn may_have_taken_effect(&self) -> bool {
         matches!(self, Self::Lost(_) | Self::Unreadable(_))
     }
 }
 
-/// The key-value service.
+/// Client of the key-value service.
 pub trait Store: Clone + Send + Sync + 'static {
-    /// A running watch.
+    /// Watch of one key.
     type Watch: Watch;
 
     /// Reads one key, linearizably.
@@ -169,11 +170,12 @@
     /// Fails if the service can't be reached or does not answer in time.
     fn grant(&self, ttl: Duration) -> impl Future<Output = Result<Lease, Error>> + Send;
 
-    /// Renews a lease once and returns the time that it holds from then on.
+    /// Renews a lease once and returns its new time to live.
     ///
     /// # Errors
     ///
-    /// Fails with [`Error::UnknownLease`] if it has lapsed.
+    /// Fails with [`Error::UnknownLease`] if the lease has expired, or if the
+    /// service can't be reached or does not answer in time.
     fn renew(&self, lease: Lease) -> impl Future<Output = Result<Duration, Error>> + Send;
 
     /// Revokes a lease, which deletes its keys.
@@ -183,7 +185,7 @@
     /// Fails if the service can't be reached or does not answer in time.
     fn revoke(&self, lease: Lease) -> impl Future<Output = Result<(), Error>> + Send;
 
-    /// Watches one key from a revision on.
+    /// Watches one key, starting with the changes of revision `from`.
     ///
     /// # Errors
     ///
@@ -195,12 +197,13 @@
     ) -> impl Future<Output = Result<Self::Watch, Error>> + Send;
 }
 
-/// A running watch; dropping it ends it.
+/// Watch of one key; dropping it cancels it.
 pub trait Watch: Send + 'static {
     /// Waits for the next changes.
     ///
     /// # Errors
     ///
-    /// Fails if the connection is lost; the watch is of no use then.
+    /// Fails if the connection is lost or the service cancels the watch; start
+    /// a new one then.
     fn next(&mut self) -> impl Future<Output = Result<Vec<Change>, Error>> + Send;
 }
--- a/store/src/layout.rs
+++ b/store/src/layout.rs
@@ -1,32 +1,34 @@
-//! Keys of the key-value service and the values behind them.
+//! Keys and values that are stored in the key-value service.
 
 use dottereltally_lib::id;
 use serde::{Deserialize, Serialize};
 
 /// Key of the configuration in force.
 pub const CONFIGURATION: &str = "/dottereltally/configuration";
-/// Prefix of the audit trail; a generation follows, 20 digits.
-pub const AUDIT: &str = "/dottereltally/audit/";
-/// Prefix of the claims.
+/// Key prefix of the audit trail; the generation follows, padded to 20 digits.
+pub const AUDIT_PREFIX: &str = "/dottereltally/audit/";
+/// Key prefix of the claims.
 pub const CLAIMS: &str = "/dottereltally/claims/";
 
 /// The configuration in force, as stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Configuration {
-    /// Its number.
+    /// Number of this configuration.
     pub generation: id::Generation,
-    /// The operators' text, as written.
+    /// The operators' text, unchanged.
     pub text: String,
     /// Who applied it.
     pub author: String,
-    /// When, RFC 3339.
+    /// Time of the change, RFC 3339.
     pub time: String,
-    /// Identifies the apply, so that a lost answer can be settled.
+    /// Identifies the proposal, so that its author can find it after a lost
+    /// answer.
     pub token: String,
 }
 
-/// One entry of the audit trail, written in the transaction of its change.
+/// One entry of the audit trail, written in the same transaction as the
+/// configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Audit {
@@ -34,28 +36,29 @@
     pub generation: id::Generation,
     /// Who applied it.
     pub author: String,
-    /// When, RFC 3339.
+    /// Time of the change, RFC 3339.
     pub time: String,
-    /// What changed, a line each, such as `calls.pay: tier 1 -> 0`.
+    /// Changes, one per line, such as `calls.pay: tier 1 -> 0`.
     pub changes: Vec<String>,
-    /// Identifies the apply.
+    /// Identifies the proposal.
     pub token: String,
 }
 
-/// The right to run one call with an idempotency key.
+/// Exclusive right to run the call with one idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Claim {
-    /// Identifies the attempt that holds it.
+    /// Identifies the attempt that holds the claim.
     pub token: String,
-    /// The node that holds it.
+    /// Node of that attempt.
     pub node: id::Node,
-    /// Hash of the request; a second request with the key must be the same.
+    /// Hash of the request; another request with the same key must have the
+    /// same hash.
     pub fingerprint: id::Fingerprint,
 }
 
 /// Returns the key of the audit entry of a generation.
 #[must_use]
 pub fn audit_key(generation: id::Generation) -> String {
-    format!("{AUDIT}{:020}", generation.0)
+    format!("{AUDIT_PREFIX}{:020}", generation.0)
 }
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -1,7 +1,7 @@
 //! Clients of the platform: its key-value service and its host list.
 //!
-//! Each is a trait with a network client and an in-memory implementation for
-//! tests.
+//! Both are traits, each with a network client and an in-memory implementation
+//! for tests.
 
 pub mod etcd;
 pub mod host;
--- a/store/src/proposal.rs
+++ b/store/src/proposal.rs
@@ -1,8 +1,9 @@
-//! A change of the configuration, accepted or refused as a whole.
+//! Atomic change of the configuration.
 //!
-//! One transaction compares the revision that the text was edited from, puts
-//! the new configuration and writes its audit entry. A lost answer is settled
-//! by reading back; every attempt of one proposal has the same token.
+//! One transaction checks that the configuration was not modified since it was
+//! read, writes the new configuration and adds its audit entry. If the answer
+//! is lost, the audit trail is searched for the token of the proposal, which
+//! is the same in all its attempts.
 
 use std::time::Duration;
 
@@ -14,83 +15,90 @@
     layout::{self, Audit, Configuration},
 };
 
-/// Number of generations that the audit trail keeps.
-pub const AUDIT_GENERATIONS: u64 = 10_000;
+/// Number of generations after which an audit entry is deleted, and maximum
+/// number of entries that are read.
+pub const RETAINED_AUDIT_GENERATIONS: u64 = 10_000;
 
+/// Time between two attempts of a proposal.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A text that an operator wants in force.
+/// Configuration that an operator proposes.
 #[derive(Clone, Debug)]
 pub struct Proposal {
     /// Generation that the text was edited from; zero if there was none.
     pub base: id::Generation,
-    /// Highest generation that a node has in force; the next is above it.
+    /// Highest generation that a node has in force; the generation of the
+    /// proposal will be above it.
     pub floor: id::Generation,
-    /// The text, checked before.
+    /// The new text; the caller has validated it.
     pub text: String,
-    /// Who proposes it.
+    /// Name of the operator, for the audit trail.
     pub author: String,
-    /// When, RFC 3339.
+    /// Time of the proposal, RFC 3339.
     pub time: String,
     /// Identifies the proposal.
     pub token: String,
 }
 
-/// What became of a proposal.
+/// Result of a proposal that was not refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Accepted {
-    /// It is the configuration of this generation, with these changes.
+    /// It was accepted as this generation, with these changes.
     Changed(id::Generation, Vec<String>),
-    /// It says the same as this generation; nothing was written.
+    /// It equals the configuration of this generation; nothing was written.
     Unchanged(id::Generation),
 }
 
-/// Why a proposal was not accepted.
+/// Error of a proposal or of a read of the configuration.
 #[derive(Clone, Debug, thiserror::Error)]
 pub enum Error {
-    /// Somebody else changed the configuration since the base.
+    /// The configuration has changed since the base.
     #[error("the text was edited from generation {base}, but generation {} by {} is in force", .current.generation, .current.author)]
     Conflict {
-        /// What the text was edited from.
+        /// Generation that the text was edited from.
         base: id::Generation,
-        /// What is in force.
+        /// Configuration in force.
         current: Box<Configuration>,
         /// Audit entries since the base, oldest first.
         since: Vec<Audit>,
     },
-    /// The platform failed before anything was written.
+    /// The key-value service failed; nothing was written.
     #[error("nothing was changed: {0}")]
     Platform(kv::Error),
-    /// No answer came in time; the proposal may come into force.
+    /// An answer was lost, and it could not be found out whether the proposal
+    /// was or will be accepted; with the token of the proposal.
     #[error(
         "no answer in time, the change may or may not come into force: {0}; find its token {1} with `history` before applying again"
     )]
-    Unsettled(kv::Error, String),
-    /// The audit trail is ahead of the configuration.
+    Indeterminate(kv::Error, String),
+    /// The transaction kept failing although the base is in force, as it does
+    /// if the audit trail already has an entry for the next generation.
     #[error(
         "nothing was changed: the audit trail already has generation {0} while the configuration does not; restore both from one backup of the key-value service"
     )]
-    Contended(id::Generation),
-    /// A value of the key-value service is not ours.
+    AuditAhead(id::Generation),
+    /// The value of this key can't be decoded.
     #[error("{0} is unreadable: {1}; restore it from a backup of the key-value service")]
     Unreadable(String, String),
-    /// Texts could not be compared.
+    /// The text in force or the new one can't be parsed.
     #[error("the text is unreadable: {0}")]
     Text(#[from] dottereltally_lib::fault::List),
 }
 
-/// What is known while a proposal is submitted.
+/// Stored configuration and the revision that last modified it.
 struct State {
     current: Option<Configuration>,
     modified: kv::Revision,
 }
 
 impl Proposal {
-    /// Submits the proposal and settles lost answers until `limit` has passed.
+    /// Submits the proposal, and retries after a lost answer or a failed
+    /// transaction until `limit` has passed.
     ///
     /// # Errors
     ///
-    /// Fails with a conflict, or if the platform is away; see [`Error`].
+    /// Fails with a conflict, or if the key-value service can't be reached; see
+    /// [`Error`].
     pub async fn submit<S: Store>(&self, store: &S, limit: Duration) -> Result<Accepted, Error> {
         let deadline = time::Instant::now() + limit;
         let mut lost = None;
@@ -109,22 +117,24 @@
             }
             if time::Instant::now() >= deadline {
                 return Err(match lost {
-                    Some(error) => Error::Unsettled(error, self.token.clone()),
-                    None => Error::Contended(self.base.next()),
+                    Some(error) => Error::Indeterminate(error, self.token.clone()),
+                    None => Error::AuditAhead(self.base.next()),
                 });
             }
             time::sleep(RETRY_INTERVAL).await;
         }
     }
 
-    /// Tries once; returns nothing if the state changed meanwhile.
+    /// Tries once; returns `None` if a condition of the transaction failed.
+    ///
+    /// `may_be_written` tells whether an earlier attempt may have taken effect.
     async fn attempt<S: Store>(
         &self,
         store: &S,
-        repeated: bool,
+        may_be_written: bool,
     ) -> Result<Option<Accepted>, Error> {
         let state = read(store).await?;
-        if let Some(accepted) = self.settled(store, &state, repeated).await? {
+        if let Some(accepted) = self.reconcile(store, &state, may_be_written).await? {
             return Ok(Some(accepted));
         }
         let changes = self.changes(&state)?;
@@ -142,21 +152,25 @@
         Ok(None)
     }
 
-    /// Finds out whether an earlier attempt was accepted.
-    async fn settled<S: Store>(
+    /// Handles a configuration that is no longer the base: returns the result
+    /// of an earlier attempt of this proposal, or fails with a conflict.
+    ///
+    /// Returns `None` if the base is still in force or if there is no
+    /// configuration.
+    async fn reconcile<S: Store>(
         &self,
         store: &S,
         state: &State,
-        repeated: bool,
+        may_be_written: bool,
     ) -> Result<Option<Accepted>, Error> {
         let generation = state.generation();
         if generation == self.base {
             return Ok(None);
         }
-        let since = since(store, self.base).await?;
+        let since = audits_since(store, self.base).await?;
         let own = since.iter().find(|audit| audit.token == self.token);
         if let Some(own) = own
-            && repeated
+            && may_be_written
         {
             return Ok(Some(Accepted::Changed(own.generation, own.changes.clone())));
         }
@@ -198,7 +212,7 @@
             changes: changes.to_vec(),
             token: self.token.clone(),
         };
-        let unchanged = match state.current {
+        let not_modified = match state.current {
             Some(_) => Compare::Modified(layout::CONFIGURATION.to_owned(), state.modified),
             None => Compare::Absent(layout::CONFIGURATION.to_owned()),
         };
@@ -211,12 +225,12 @@
             ),
             Operation::Put(audit_key.clone(), encode(&audit), None),
         ];
-        if let Some(expired) = generation.0.checked_sub(AUDIT_GENERATIONS) {
+        if let Some(expired) = generation.0.checked_sub(RETAINED_AUDIT_GENERATIONS) {
             let key = layout::audit_key(id::Generation(expired));
             success.push(Operation::Delete(key));
         }
         Transaction {
-            compares: vec![unchanged, Compare::Absent(audit_key)],
+            compares: vec![not_modified, Compare::Absent(audit_key)],
             success,
             failure: Vec::new(),
         }
@@ -235,7 +249,8 @@
 ///
 /// # Errors
 ///
-/// Fails if the platform is away or the value is not ours.
+/// Fails if the key-value service can't be reached or the value can't be
+/// decoded.
 pub async fn current<S: Store>(store: &S) -> Result<Option<Configuration>, Error> {
     Ok(read(store).await?.current)
 }
@@ -244,11 +259,12 @@
 ///
 /// # Errors
 ///
-/// Fails if the platform is away or a value is not ours.
-pub async fn since<S: Store>(store: &S, base: id::Generation) -> Result<Vec<Audit>, Error> {
-    let limit = usize::try_from(AUDIT_GENERATIONS).unwrap_or(usize::MAX);
+/// Fails if the key-value service can't be reached or an entry can't be
+/// decoded.
+pub async fn audits_since<S: Store>(store: &S, base: id::Generation) -> Result<Vec<Audit>, Error> {
+    let limit = usize::try_from(RETAINED_AUDIT_GENERATIONS).unwrap_or(usize::MAX);
     let entries = store
-        .list(layout::AUDIT, limit)
+        .list(layout::AUDIT_PREFIX, limit)
         .await
         .map_err(Error::Platform)?;
     let mut audits = Vec::new();
--- a/store/tests/test_proposal.rs
+++ b/store/tests/test_proposal.rs
@@ -1,5 +1,6 @@
-//! Changes of the configuration: one winner, lost answers settled, an audit
-//! trail that holds each accepted change once and in order.
+//! Changes of the configuration: one of several concurrent proposals is
+//! accepted, a lost answer is resolved by reading back, and the audit trail has
+//! each accepted change once and in order.
 
 use std::time::Duration;
 
@@ -26,7 +27,7 @@
 }
 
 async fn tokens(store: &Store) -> Vec<String> {
-    let audits = proposal::since(store, Generation(0)).await.unwrap();
+    let audits = proposal::audits_since(store, Generation(0)).await.unwrap();
     audits.into_iter().map(|audit| audit.token).collect()
 }
 
@@ -35,14 +36,14 @@
 }
 
 /// Waits until the first configuration is in the store.
-async fn written(store: &Store) {
+async fn wait_until_written(store: &Store) {
     while store.peek(layout::CONFIGURATION).is_none() {
         time::sleep(Duration::from_millis(1)).await;
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn generations_follow_each_other() {
+async fn each_accepted_proposal_gets_the_next_generation() {
     let store = Store::default();
     for base in 0..3 {
         let proposal = proposal(base, &format!("t{base}"));
@@ -53,7 +54,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_same_text_again_changes_nothing() {
+async fn an_equal_text_writes_nothing() {
     let store = Store::default();
     proposal(0, "a").submit(&store, LIMIT).await.unwrap();
     let mut again = proposal(1, "b");
@@ -64,7 +65,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_with_a_higher_generation_raises_the_next() {
+async fn the_next_generation_is_above_that_of_every_node() {
     let store = Store::default();
     let mut first = proposal(0, "a");
     first.floor = Generation(7);
@@ -76,13 +77,16 @@
 #[case(2)]
 #[case(10)]
 #[tokio::test(start_paused = true)]
-async fn of_racing_operators_one_wins_and_the_others_learn_the_change(#[case] operators: usize) {
+async fn one_of_several_concurrent_proposals_wins_and_the_others_get_its_change(
+    #[case] operators: usize,
+) {
     let store = Store::default();
     proposal(0, "first").submit(&store, LIMIT).await.unwrap();
     let mut tasks = JoinSet::new();
     for operator in 0..operators {
         let client = store.connect();
-        // Every read comes before the first write takes effect.
+        // Delays the writes, so that all clients read before the first write
+        // takes effect.
         client.inject(Call::Transact, Fault::Slow(Duration::from_millis(100)));
         let proposal = proposal(1, &format!("t{operator}"));
         tasks.spawn(async move { proposal.submit(&client, LIMIT).await });
@@ -103,7 +107,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_ends_in_the_truth() {
+async fn a_lost_answer_is_resolved_by_reading_back() {
     let store = Store::default();
     store.inject(Call::Transact, Fault::AnswerLost);
     let accepted = proposal(0, "a").submit(&store, LIMIT).await.unwrap();
@@ -112,7 +116,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_write_that_lands_late_is_not_made_twice() {
+async fn a_write_that_takes_effect_late_is_not_repeated() {
     let store = Store::default();
     store.inject(Call::Transact, Fault::Delayed(Duration::from_millis(1500)));
     let accepted = proposal(0, "a").submit(&store, LIMIT).await.unwrap();
@@ -122,12 +126,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_is_found_although_another_change_followed() {
+async fn a_lost_answer_is_resolved_after_another_change() {
     let store = Store::default();
     let slow = store.connect();
     slow.inject(Call::Transact, Fault::AnswerLost);
     let task = tokio::spawn(async move { proposal(0, "a").submit(&slow, LIMIT).await });
-    written(&store).await;
+    wait_until_written(&store).await;
     proposal(1, "b").submit(&store, LIMIT).await.unwrap();
     let accepted = task.await.unwrap().unwrap();
     assert!(is_generation(&accepted, 1), "{accepted:?}");
@@ -135,7 +139,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_outage_before_the_write_changes_nothing_and_says_so() {
+async fn an_outage_before_the_write_is_reported_as_no_change() {
     let store = Store::default();
     store.set_down(true);
     let error = proposal(0, "a").submit(&store, LIMIT).await.unwrap_err();
@@ -148,14 +152,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_outage_after_the_write_is_not_called_a_failure() {
+async fn an_outage_after_the_write_is_reported_as_indeterminate() {
     let store = Store::default();
     let slow = store.connect();
     slow.inject(Call::Transact, Fault::AnswerLost);
     let switch = slow.clone();
     let task = tokio::spawn(async move { proposal(0, "a").submit(&slow, LIMIT).await });
-    written(&store).await;
+    wait_until_written(&store).await;
     switch.set_down(true);
     let error = task.await.unwrap().unwrap_err();
-    assert!(matches!(error, Error::Unsettled(..)), "{error:?}");
+    assert!(matches!(error, Error::Indeterminate(..)), "{error:?}");
 }
