--- a/node/tests/chain/mod.rs
+++ b/node/tests/chain/mod.rs
@@ -1,6 +1,7 @@
-//! A filter chain over fakes of the core, the endpoints and the platform.
+//! A filter chain over fakes of the dispatcher, the endpoints and the key-value
+//! service.
 
-#![allow(dead_code, reason = "each test program uses a part")]
+#![allow(dead_code, reason = "each test binary uses a subset")]
 
 use std::{
     collections::VecDeque,
@@ -43,7 +44,7 @@
 
 /// Bearer key of the workspace `demo`.
 pub const KEY: &str = "demo-key";
-/// Bearer key of the workspace `small`, which may have one request.
+/// Bearer key of the workspace `small`, which is limited to one request at a time.
 pub const SMALL_KEY: &str = "small-key";
 
 const TEXT: &str = "
@@ -62,25 +63,27 @@
   small: {keys: [\"sha256:SMALL\"], share: 1, limit: 1}
 ";
 
-/// What the fake core decides.
+/// Admission decision of the fake dispatcher.
 #[derive(Clone, Debug)]
 pub enum Decision {
-    /// Hand the request to the endpoint of this name.
+    /// Admits the request to the endpoint of this name.
     Admit(&'static str),
-    /// Refuse it.
+    /// Refuses the request.
     Refuse(refusal::Reason),
-    /// Let it wait.
+    /// Never decides.
     Wait,
 }
 
-/// A core that decides by a script.
+/// A dispatcher that returns scripted decisions and records its events.
+///
+/// After the last scripted decision it admits every request to `tally-1`.
 #[derive(Clone)]
-pub struct Core {
+pub struct Dispatcher {
     decisions: Arc<Mutex<VecDeque<Decision>>>,
     events: Arc<watch::Sender<Vec<Event>>>,
 }
 
-impl Core {
+impl Dispatcher {
     fn decide(&self) -> Decision {
         let next = self.decisions.lock().expect("unpoisoned").pop_front();
         next.unwrap_or(Decision::Admit("tally-1"))
@@ -101,7 +104,7 @@
     }
 }
 
-impl Handle for Core {
+impl Handle for Dispatcher {
     fn tell(&self, event: Event) {
         self.events.send_modify(|events| events.push(event));
     }
@@ -116,80 +119,80 @@
     }
 }
 
-/// One piece of an answer's body.
+/// One step of sending a response body.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// These bytes.
+    /// Sends these bytes.
     Data(&'static str),
-    /// The connection breaks.
-    Break,
-    /// Nothing more comes, and the connection stays.
-    Silence,
-    /// Nothing comes until somebody notifies.
-    Gate(Arc<Notify>),
+    /// Breaks the connection.
+    Disconnect,
+    /// Sends nothing more and keeps the connection open.
+    Stall,
+    /// Sends nothing until notified.
+    WaitFor(Arc<Notify>),
 }
 
-/// What an endpoint does with a request.
+/// How an endpoint handles one request.
 #[derive(Clone, Debug)]
 pub enum Script {
-    /// It can't be reached.
+    /// The endpoint can't be reached; nothing is sent.
     Unsent,
-    /// The connection breaks before the head.
+    /// The connection breaks before the response head.
     Broken,
-    /// Nothing comes.
+    /// The endpoint never responds.
     Silent,
-    /// It answers.
-    Answer(Head, Vec<Step>),
+    /// The endpoint responds.
+    Respond(Head, Vec<Step>),
 }
 
-/// Head of an answer.
+/// Head of a response.
 #[derive(Clone, Debug)]
 pub struct Head {
-    /// Status.
+    /// Status code.
     pub status: u16,
     /// Content type.
-    pub kind: &'static str,
-    /// Correlation value, if not the request's.
-    pub echo: Option<&'static str>,
+    pub content_type: &'static str,
+    /// Correlation value; the request's own one if `None`.
+    pub correlation: Option<&'static str>,
 }
 
 impl Head {
-    /// Returns the head of a JSON answer.
+    /// Returns the head of a JSON response.
     pub fn json(status: u16) -> Self {
         Self {
             status,
-            kind: "application/json",
-            echo: None,
+            content_type: "application/json",
+            correlation: None,
         }
     }
 
-    /// Returns the head of a stream of events.
-    pub fn events() -> Self {
+    /// Returns the head of an event stream.
+    pub fn event_stream() -> Self {
         Self {
-            kind: "text/event-stream",
+            content_type: "text/event-stream",
             ..Self::json(200)
         }
     }
 }
 
-/// A request that was handed over.
+/// A request that was sent to an endpoint.
 #[derive(Clone, Debug)]
 pub struct Sent {
-    /// Where to.
+    /// Address of the endpoint.
     pub address: String,
-    /// The message.
+    /// The request.
     pub message: Message,
-    /// The connection that it might use.
+    /// Which connections the request was allowed to use.
     pub reuse: Reuse,
 }
 
-/// Endpoints that answer by a script.
+/// Endpoints that handle requests as scripted, one script per request.
 #[derive(Clone, Default)]
 pub struct Endpoints {
     scripts: Arc<Mutex<VecDeque<Script>>>,
-    /// Requests that were handed over, in order.
+    /// Requests that were sent, in order.
     pub sent: Arc<Mutex<Vec<Sent>>>,
-    /// Notified when an answer is dropped before its end.
+    /// Notified when a response body is dropped before its end.
     pub cancelled: Arc<Notify>,
 }
 
@@ -203,21 +206,21 @@
         reuse: Reuse,
     ) -> Result<Response<ScriptBody>, Failure> {
         let script = self.scripts.lock().expect("unpoisoned").pop_front();
-        let script = script.expect("no endpoint expects another request");
+        let script = script.expect("no script is left for this request");
         if let Script::Unsent = script {
             return Err(Failure::Unsent {
                 message: Box::new(message),
                 cause: "refused".to_owned(),
             });
         }
-        let echo = message.headers().get(CORRELATION).cloned();
+        let request_correlation = message.headers().get(CORRELATION).cloned();
         self.sent.lock().expect("unpoisoned").push(Sent {
             address: address.to_owned(),
             message,
             reuse,
         });
         let (head, steps) = match script {
-            Script::Answer(head, steps) => (head, steps),
+            Script::Respond(head, steps) => (head, steps),
             Script::Silent => return std::future::pending().await,
             Script::Broken | Script::Unsent => {
                 return Err(Failure::Broken(Broken {
@@ -227,27 +230,27 @@
         };
         let body = ScriptBody {
             steps: steps.into(),
-            gate: None,
+            waiting: None,
             cancelled: Arc::clone(&self.cancelled),
             ended: false,
         };
         let mut response = Response::new(body);
         *response.status_mut() = StatusCode::from_u16(head.status).expect("a status");
         let headers = response.headers_mut();
-        headers.insert(CONTENT_TYPE, head.kind.parse().expect("a value"));
-        let echo = head
-            .echo
-            .map(|echo| echo.parse().expect("a value"))
-            .or(echo);
-        headers.insert(CORRELATION, echo.expect("a correlation value"));
+        headers.insert(CONTENT_TYPE, head.content_type.parse().expect("a value"));
+        let correlation = head
+            .correlation
+            .map(|correlation| correlation.parse().expect("a value"))
+            .or(request_correlation);
+        headers.insert(CORRELATION, correlation.expect("a correlation value"));
         Ok(response)
     }
 }
 
-/// Body of a scripted answer.
+/// Body of a scripted response.
 pub struct ScriptBody {
     steps: VecDeque<Step>,
-    gate: Option<Pin<Box<dyn Future<Output = ()> + Send>>>,
+    waiting: Option<Pin<Box<dyn Future<Output = ()> + Send>>>,
     cancelled: Arc<Notify>,
     ended: bool,
 }
@@ -260,23 +263,23 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
-        if let Some(gate) = &mut self.gate {
-            if gate.as_mut().poll(context).is_pending() {
+        if let Some(waiting) = &mut self.waiting {
+            if waiting.as_mut().poll(context).is_pending() {
                 return Poll::Pending;
             }
-            self.gate = None;
+            self.waiting = None;
         }
         match self.steps.pop_front() {
             Some(Step::Data(data)) => Poll::Ready(Some(Ok(Frame::data(Bytes::from(data))))),
-            Some(Step::Break) => Poll::Ready(Some(Err(Broken {
+            Some(Step::Disconnect) => Poll::Ready(Some(Err(Broken {
                 cause: "reset".to_owned(),
             }))),
-            Some(Step::Silence) => {
-                self.steps.push_front(Step::Silence);
+            Some(Step::Stall) => {
+                self.steps.push_front(Step::Stall);
                 Poll::Pending
             }
-            Some(Step::Gate(notify)) => {
-                self.gate = Some(Box::pin(async move { notify.notified().await }));
+            Some(Step::WaitFor(notify)) => {
+                self.waiting = Some(Box::pin(async move { notify.notified().await }));
                 self.poll_frame(context)
             }
             None => {
@@ -295,11 +298,11 @@
     }
 }
 
-/// A node without peers.
+/// The peers of a node that runs alone.
 #[derive(Clone, Copy, Debug)]
-pub struct Alone;
+pub struct NoPeers;
 
-impl Peers for Alone {
+impl Peers for NoPeers {
     async fn answer(&self, node: &id::Node, _: &str, _: &str) -> Result<Answer, Error> {
         Err(Error::NotLive(node.clone()))
     }
@@ -311,50 +314,50 @@
     fn send(&self, _: &id::Node, _: Admission) {}
 }
 
-type Keeper = claim::Keeper<Store, Alone>;
+type Keeper = claim::Keeper<Store, NoPeers>;
 
-/// A chain and its fakes.
-pub struct Bench {
+/// A filter chain and its fakes.
+pub struct Harness {
     /// The chain.
-    pub chain: Arc<Chain<Core, Endpoints, Keeper>>,
+    pub chain: Arc<Chain<Dispatcher, Endpoints, Keeper>>,
     /// The endpoints.
     pub endpoints: Endpoints,
     /// The key-value service.
     pub store: Store,
-    core: Core,
+    dispatcher: Dispatcher,
     registry: Registry,
 }
 
-/// An answer as its caller saw it.
+/// A response as its caller received it.
 #[derive(Debug)]
-pub struct Seen {
-    /// Its status.
+pub struct Reply {
+    /// Status code.
     pub status: StatusCode,
-    /// Its headers.
+    /// Headers.
     pub headers: http::HeaderMap,
-    /// What came of its body.
+    /// The part of the body that was received.
     pub text: String,
-    /// Whether it ended as a whole.
-    pub whole: bool,
+    /// Whether the body ended without an error.
+    pub complete: bool,
 }
 
-impl Seen {
-    /// Returns a member of a problem body.
+impl Reply {
+    /// Returns a string member of a problem body, empty if it is absent.
     pub fn member(&self, name: &str) -> String {
         let json: Value = serde_json::from_str(&self.text).expect("a problem body");
         json[name].as_str().unwrap_or_default().to_owned()
     }
 }
 
-/// Returns the text of the tests.
+/// Returns the configuration of the tests.
 pub fn text() -> Text {
     let small = dottereltally_testutils::deployment::hash(SMALL_KEY);
     let text = TEXT.replace("sha256:SMALL", &small);
     text.parse().expect("a valid text")
 }
 
-impl Bench {
-    /// Builds a chain whose core and endpoints follow scripts.
+impl Harness {
+    /// Builds a chain with scripted decisions and endpoints.
     pub fn new(decisions: Vec<Decision>, scripts: Vec<Script>) -> Self {
         let rules = Rules::new(id::Generation(1), Arc::new(text()));
         Self::with_rules(Some(rules), decisions, scripts)
@@ -366,7 +369,7 @@
         decisions: Vec<Decision>,
         scripts: Vec<Script>,
     ) -> Self {
-        let core = Core {
+        let dispatcher = Dispatcher {
             decisions: Arc::new(Mutex::new(decisions.into())),
             events: Arc::new(watch::Sender::new(Vec::new())),
         };
@@ -379,7 +382,7 @@
         let keeper = claim::Keeper::start(
             node.clone(),
             store.clone(),
-            Alone,
+            NoPeers,
             Attempts::default(),
             claim::Limits::default(),
         );
@@ -396,7 +399,7 @@
             clock: Clock::start(),
             rules: watch::channel(rules.map(Arc::new)).1,
             places: Table::default(),
-            dispatcher: core.clone(),
+            dispatcher: dispatcher.clone(),
             resolve: Arc::new(|endpoint| Some(format!("{endpoint}:80"))),
             upstream: endpoints.clone(),
             keeper,
@@ -407,22 +410,22 @@
             chain: Arc::new(chain),
             endpoints,
             store,
-            core,
+            dispatcher,
             registry,
         }
     }
 
-    /// Sends a request and reads its answer to the end.
-    pub async fn send(&self, request: http::Request<Full<Bytes>>) -> Seen {
+    /// Sends a request and reads the response to its end.
+    pub async fn send(&self, request: http::Request<Full<Bytes>>) -> Reply {
         read(Arc::clone(&self.chain).serve(request).await).await
     }
 
-    /// Returns the events that the core was told.
+    /// Returns the events that the dispatcher received.
     pub fn events(&self) -> Vec<Event> {
-        self.core.events.borrow().clone()
+        self.dispatcher.events.borrow().clone()
     }
 
-    /// Returns how the requests ended for the core.
+    /// Returns the outcomes that were reported to the dispatcher.
     pub fn outcomes(&self) -> Vec<Outcome> {
         let mut outcomes = Vec::new();
         for event in self.events() {
@@ -433,22 +436,22 @@
         outcomes
     }
 
-    /// Waits until a request has ended for the core.
-    pub async fn ended(&self) {
-        let mut events = self.core.events.subscribe();
+    /// Waits until the end of a request was reported to the dispatcher.
+    pub async fn wait_ended(&self) {
+        let mut events = self.dispatcher.events.subscribe();
         let ended = |event: &Event| matches!(event, Event::Ended(..));
         events
             .wait_for(|events| events.iter().any(ended))
             .await
-            .expect("the core stays");
+            .expect("the dispatcher is alive");
     }
 
-    /// Returns the requests that were handed over.
+    /// Returns the requests that were sent to endpoints.
     pub fn sent(&self) -> Vec<Sent> {
         self.endpoints.sent.lock().expect("unpoisoned").clone()
     }
 
-    /// Returns the metrics' text.
+    /// Returns the metrics in text format.
     pub fn metrics(&self) -> String {
         let mut content = String::new();
         text::encode(&mut content, &self.registry).expect("metrics encode");
@@ -456,30 +459,30 @@
     }
 }
 
-/// Reads an answer to its end.
-pub async fn read(response: Response<Body>) -> Seen {
+/// Reads a response to its end.
+pub async fn read(response: Response<Body>) -> Reply {
     let (parts, mut body) = response.into_parts();
     let mut content = Vec::new();
-    let mut whole = true;
+    let mut complete = true;
     while let Some(frame) = body.frame().await {
         match frame.map(Frame::into_data) {
             Ok(Ok(data)) => content.extend_from_slice(&data),
             Ok(Err(_)) => {}
             Err(_) => {
-                whole = false;
+                complete = false;
                 break;
             }
         }
     }
-    Seen {
+    Reply {
         status: parts.status,
         headers: parts.headers,
         text: String::from_utf8(content).expect("text"),
-        whole,
+        complete,
     }
 }
 
-/// Builds a request with the key of `demo`.
+/// Builds a request with the bearer key of the workspace `demo`.
 pub fn request(method: &str, path: &str, body: &str) -> http::Request<Full<Bytes>> {
     http::Request::builder()
         .method(method)
@@ -490,7 +493,11 @@
 }
 
 /// Sets a header of a request.
-pub fn with<B>(mut request: http::Request<B>, name: &'static str, value: &str) -> http::Request<B> {
+pub fn with_header<B>(
+    mut request: http::Request<B>,
+    name: &'static str,
+    value: &str,
+) -> http::Request<B> {
     let value = value.parse().expect("a header value");
     request.headers_mut().insert(name, value);
     request
@@ -508,13 +515,13 @@
 /// Builds a payment with an idempotency key.
 pub fn payment(key: &str) -> http::Request<Full<Bytes>> {
     let request = request("POST", "/payments", r#"{"amount": 120}"#);
-    with(request, "idempotency-key", key)
+    with_header(request, "idempotency-key", key)
 }
 
-/// A body that never ends.
-pub struct Endless;
+/// A body that never yields data and never ends.
+pub struct PendingBody;
 
-impl http_body::Body for Endless {
+impl http_body::Body for PendingBody {
     type Data = Bytes;
     type Error = Infallible;
 
--- a/node/tests/test_dispatcher.rs
+++ b/node/tests/test_dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher around the real decision core.
+//! The dispatcher with the real scheduler.
 
 mod chain;
 
@@ -23,10 +23,10 @@
 use ractor::Actor;
 use tokio::sync::watch;
 
-/// Seed of the core's choices.
+/// Seed of the scheduler.
 const SEED: u64 = 7;
 
-/// Collects the probes that the core asks for.
+/// Records the probes that the scheduler requests, and lets them succeed.
 #[derive(Clone)]
 struct Probes(Arc<watch::Sender<Vec<id::Endpoint>>>);
 
@@ -41,15 +41,17 @@
     fn send(&self, _: id::Node, _: event::Message) {}
 }
 
-struct Bench {
+/// A dispatcher with one endpoint.
+struct Harness {
     sender: Sender,
     clock: Clock,
     probes: Probes,
     next: Mutex<u64>,
 }
 
-impl Bench {
-    /// Starts a dispatcher that knows one plain endpoint with one place.
+impl Harness {
+    /// Starts a dispatcher with one plain endpoint that runs one request at a
+    /// time.
     async fn start() -> Self {
         let probes = Probes(Arc::new(watch::Sender::new(Vec::new())));
         let clock = Clock::start();
@@ -92,6 +94,7 @@
         }
     }
 
+    /// Builds a claimed request to a service.
     fn request(&self, service: &str) -> Request<Claimed> {
         let mut next = self.next.lock().expect("unpoisoned");
         *next += 1;
@@ -113,6 +116,7 @@
         Request::new(id::Request(*next), Arc::new(profile)).claim()
     }
 
+    /// Reports the end of a request.
     fn end(&self, request: id::Request, outcome: Outcome) {
         self.sender.tell(Event::Ended(request, outcome));
     }
@@ -124,90 +128,94 @@
 };
 
 #[tokio::test]
-async fn admits_when_the_place_is_free() {
-    let bench = Bench::start().await;
-    let first = bench.sender.admit(bench.request("yard-app")).await;
+async fn admits_a_request_when_the_endpoint_is_free() {
+    let harness = Harness::start().await;
+    let first = harness.sender.admit(harness.request("yard-app")).await;
     let first = first.expect("an endpoint");
     assert_eq!(first.endpoint().as_str(), "ledger-1");
-    let second = bench.sender.admit(bench.request("yard-app"));
+    let second = harness.sender.admit(harness.request("yard-app"));
     tokio::pin!(second);
     let early = tokio::time::timeout(Duration::from_millis(20), &mut second).await;
     assert!(early.is_err());
-    bench.end(first.id(), ANSWERED);
+    harness.end(first.id(), ANSWERED);
     assert!(second.await.is_ok());
 }
 
 #[tokio::test]
-async fn a_dropped_wait_is_withdrawn() {
-    let bench = Bench::start().await;
-    let first = bench.sender.admit(bench.request("yard-app")).await;
+async fn a_waiting_request_that_is_dropped_is_withdrawn() {
+    let harness = Harness::start().await;
+    let first = harness.sender.admit(harness.request("yard-app")).await;
     let first = first.expect("an endpoint");
-    let waiting = bench.sender.admit(bench.request("yard-app"));
+    let waiting = harness.sender.admit(harness.request("yard-app"));
     let dropped = tokio::time::timeout(Duration::from_millis(20), waiting).await;
     assert!(dropped.is_err());
-    bench.end(first.id(), ANSWERED);
-    let third = bench.sender.admit(bench.request("yard-app")).await;
+    harness.end(first.id(), ANSWERED);
+    let third = harness.sender.admit(harness.request("yard-app")).await;
     assert!(third.is_ok());
 }
 
-/// The place comes back whether the drop meets the decision or not.
+/// The endpoint is free again whether the drop comes before or after the
+/// decision.
 #[tokio::test]
-async fn a_wait_dropped_at_any_moment_keeps_no_place() {
-    let bench = Bench::start().await;
+async fn a_request_dropped_at_any_moment_does_not_occupy_the_endpoint() {
+    let harness = Harness::start().await;
     for round in 0..200 {
-        let admission = bench.sender.admit(bench.request("yard-app"));
+        let admission = harness.sender.admit(harness.request("yard-app"));
         let mut admission = Box::pin(admission);
         for _ in 0..round % 4 {
             if let Poll::Ready(admitted) = futures_util::poll!(&mut admission) {
                 let request = admitted.expect("an endpoint").id();
-                bench.end(request, ANSWERED);
+                harness.end(request, ANSWERED);
                 break;
             }
             tokio::task::yield_now().await;
         }
         drop(admission);
     }
-    let last = bench.sender.admit(bench.request("yard-app")).await;
+    let last = harness.sender.admit(harness.request("yard-app")).await;
     assert!(last.is_ok());
 }
 
 #[tokio::test]
 async fn refuses_a_service_without_endpoints() {
-    let bench = Bench::start().await;
-    let refused = bench.sender.admit(bench.request("tally-llm")).await;
+    let harness = Harness::start().await;
+    let refused = harness.sender.admit(harness.request("tally-llm")).await;
     let refused = refused.expect_err("no endpoint");
     assert_eq!(refused.refusal.reason, refusal::Reason::NoEndpoint);
 }
 
 #[tokio::test]
-async fn an_unsent_request_gets_a_decision_again() {
-    let bench = Bench::start().await;
-    let admitted = bench.sender.admit(bench.request("yard-app")).await;
+async fn an_unsent_request_gets_another_decision() {
+    let harness = Harness::start().await;
+    let admitted = harness.sender.admit(harness.request("yard-app")).await;
     let request = admitted.expect("an endpoint").requeue();
-    let again = bench.sender.readmit(request).await;
+    let again = harness.sender.readmit(request).await;
     let refused = again.expect_err("the only endpoint is avoided");
     assert_eq!(refused.refusal.reason, refusal::Reason::NoEndpoint);
 }
 
 #[tokio::test]
-async fn a_stalled_answer_makes_the_core_probe() {
-    let bench = Bench::start().await;
-    let mut probes = bench.probes.0.subscribe();
-    let admitted = bench.sender.admit(bench.request("yard-app")).await;
-    bench.end(admitted.expect("an endpoint").id(), Outcome::Stalled);
-    let asked = probes.wait_for(|probes| !probes.is_empty()).await;
-    assert_eq!(asked.expect("the core stays")[0].as_str(), "ledger-1");
-    let next = bench.sender.admit(bench.request("yard-app")).await;
+async fn a_stalled_response_makes_the_scheduler_probe() {
+    let harness = Harness::start().await;
+    let mut probes = harness.probes.0.subscribe();
+    let admitted = harness.sender.admit(harness.request("yard-app")).await;
+    harness.end(admitted.expect("an endpoint").id(), Outcome::Stalled);
+    let requested = probes.wait_for(|probes| !probes.is_empty()).await;
+    assert_eq!(
+        requested.expect("the dispatcher is alive")[0].as_str(),
+        "ledger-1"
+    );
+    let next = harness.sender.admit(harness.request("yard-app")).await;
     assert!(next.is_ok());
 }
 
 #[tokio::test]
-async fn a_node_that_drains_refuses_what_would_wait() {
-    let bench = Bench::start().await;
-    let first = bench.sender.admit(bench.request("yard-app")).await;
+async fn a_draining_node_refuses_requests_that_would_wait() {
+    let harness = Harness::start().await;
+    let first = harness.sender.admit(harness.request("yard-app")).await;
     assert!(first.is_ok());
-    bench.sender.tell(Event::Draining);
-    let refused = bench.sender.admit(bench.request("yard-app")).await;
+    harness.sender.tell(Event::Draining);
+    let refused = harness.sender.admit(harness.request("yard-app")).await;
     let refused = refused.expect_err("it would wait");
     assert_eq!(refused.refusal.reason, refusal::Reason::Shutdown);
 }
--- a/node/tests/test_path_random.rs
+++ b/node/tests/test_path_random.rs
@@ -13,7 +13,7 @@
 };
 
 use bytes::Bytes;
-use chain::{Alone, Seen, chat, payment, read, request, with};
+use chain::{NoPeers, Reply, chat, payment, read, request, with_header};
 use dottereltally::{
     claim,
     clock::Clock,
@@ -67,10 +67,10 @@
     key: Option<String>,
     /// Position among all that happened; none if it left.
     order: u64,
-    seen: Seen,
+    seen: Reply,
 }
 
-type Subject = Chain<Sender, Endpoints, claim::Keeper<Store, Alone>>;
+type Subject = Chain<Sender, Endpoints, claim::Keeper<Store, NoPeers>>;
 
 async fn start_core(clock: Clock, seed: u64) -> Sender {
     let arguments = Arguments {
@@ -135,7 +135,7 @@
     let keeper = claim::Keeper::start(
         node.clone(),
         faulty_store(seed),
-        Alone,
+        NoPeers,
         Attempts::default(),
         claim::Limits::default(),
     );
@@ -164,7 +164,10 @@
         return (request, key);
     }
     let deadline = format!("{}ms", rng.random_range(50..3_000));
-    (with(request, "dottereltally-deadline", &deadline), key)
+    (
+        with_header(request, "dottereltally-deadline", &deadline),
+        key,
+    )
 }
 
 fn draw_call(rng: &mut SmallRng) -> (http::Request<Full<Bytes>>, Option<String>) {
@@ -240,8 +243,8 @@
     );
     if told.seen.headers["content-type"] == "text/event-stream" {
         let whole = text.trim_end().ends_with("data: [DONE]");
-        assert_eq!(whole, told.seen.whole, "{text}");
-    } else if told.seen.whole {
+        assert_eq!(whole, told.seen.complete, "{text}");
+    } else if told.seen.complete {
         assert!(text.ends_with('}'), "{text}");
     }
 }
