--- a/node/examples/control_cost.rs
+++ b/node/examples/control_cost.rs
@@ -1,18 +1,21 @@
-//! Measures what membership and peers cost a node, with real connections on
-//! loopback and all nodes in this process:
+//! Measures the network, processor and memory cost of membership per node, with
+//! real connections on loopback and all nodes in this process:
 //! `cargo run --release -p dottereltally --example control_cost -- --nodes 50 --seconds 20`.
 //!
-//! Prints the bytes of beats as well, for updates and for a whole
-//! table in every beat.
+//! Also prints the encoded size of gossip messages (beats) with few member
+//! updates and with the whole member table.
 
-#![allow(clippy::cast_precision_loss, reason = "figures for people")]
+#![allow(
+    clippy::cast_precision_loss,
+    reason = "the figures are rounded for output"
+)]
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
 use std::{env, fs, time::Duration};
 
-use common::Fleet;
+use common::Cluster;
 use dottereltally::peer::wire;
 use dottereltally_lib::{
     id,
@@ -26,45 +29,45 @@
 
 /// Clock ticks per second of `/proc/self/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Time for the nodes to find each other.
-const START: Duration = Duration::from_secs(20);
+/// Time for the nodes to join before the measurement.
+const JOIN_TIME: Duration = Duration::from_secs(20);
 
-/// Returns the number that follows a switch.
-fn number(switch: &str, default: u64) -> u64 {
-    let mut arguments = env::args().skip_while(|argument| argument != switch);
+/// Returns the value of a command-line option.
+fn option(name: &str, default: u64) -> u64 {
+    let mut arguments = env::args().skip_while(|argument| argument != name);
     let value = arguments.nth(1);
     value.map_or(default, |value| {
-        value.parse().expect("a switch takes a whole number")
+        value.parse().expect("the option's value is a whole number")
     })
 }
 
-/// Returns the processor time of this process, seconds.
-fn processor_time() -> f64 {
-    let stat = fs::read_to_string("/proc/self/stat").expect("no /proc");
-    let (_, rest) = stat.rsplit_once(')').expect("no command name");
+/// Returns the processor time of this process in seconds.
+fn processor_seconds() -> f64 {
+    let stat = fs::read_to_string("/proc/self/stat").expect("/proc is readable");
+    let (_, rest) = stat.rsplit_once(')').expect("the line has a command name");
     let mut fields = rest.split_whitespace().skip(11);
     let mut ticks = 0.0;
     for _ in 0..2 {
-        let field = fields.next().expect("a short line");
-        ticks += field.parse::<f64>().expect("not a number");
+        let field = fields.next().expect("the line has the processor times");
+        ticks += field.parse::<f64>().expect("the value is a number");
     }
     ticks / TICKS_PER_SECOND
 }
 
-/// Returns the resident memory of this process, KiB.
-fn resident() -> f64 {
-    let status = fs::read_to_string("/proc/self/status").expect("no /proc");
+/// Returns the resident memory of this process in KiB.
+fn resident_kib() -> f64 {
+    let status = fs::read_to_string("/proc/self/status").expect("/proc is readable");
     for line in status.lines() {
         let Some(rest) = line.strip_prefix("VmRSS:") else {
             continue;
         };
         let value = rest.trim().trim_end_matches(" kB");
-        return value.parse().expect("not a number");
+        return value.parse().expect("the value is a number");
     }
-    panic!("no VmRSS");
+    panic!("/proc/self/status has no VmRSS line");
 }
 
-/// Returns what a node says of itself.
+/// Returns the member entry of a node.
 fn member(index: u64) -> Member {
     Member {
         node: format!("entry-{index:03}").as_str().into(),
@@ -76,7 +79,7 @@
     }
 }
 
-/// Returns the bytes of a beat with so many members.
+/// Returns the encoded size of a beat with this number of members, in bytes.
 fn beat_bytes(members: u64) -> usize {
     let beat = Beat {
         sender: member(0),
@@ -93,29 +96,29 @@
 
 #[tokio::main]
 async fn main() {
-    let nodes = number("--nodes", 50);
-    let span = Duration::from_secs(number("--seconds", 20));
+    let nodes = option("--nodes", 50);
+    let span = Duration::from_secs(option("--seconds", 20));
     for members in [0, 1, 7, 49, 349] {
         println!("beat with {members} members: {} bytes", beat_bytes(members));
     }
-    let before = resident();
+    let before = resident_kib();
     let names: Vec<String> = (0..nodes)
         .map(|index| format!("entry-{index:03}"))
         .collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let fleet = Fleet::start_with(&names, Settings::default()).await;
-    sleep(START).await;
+    let cluster = Cluster::start_with(&names, Settings::default()).await;
+    sleep(JOIN_TIME).await;
     let mut complete = 0;
-    for node in fleet.nodes() {
+    for node in cluster.nodes() {
         complete += usize::from(node.membership.members().await.len() == names.len());
     }
     println!("{complete} of {nodes} nodes see all {nodes}");
-    let (bytes, calls, failures, opened) = totals(&fleet);
-    let (started, processor) = (Instant::now(), processor_time());
+    let (bytes, calls, failures, opened) = totals(&cluster);
+    let (started, processor) = (Instant::now(), processor_seconds());
     sleep(span).await;
     let seconds = started.elapsed().as_secs_f64();
-    let processor = processor_time() - processor;
-    let after = totals(&fleet);
+    let processor = processor_seconds() - processor;
+    let after = totals(&cluster);
     let per = |value: u64| value as f64 / seconds / nodes as f64;
     println!(
         "per node: {:.0} bytes/s in and out, {:.2} calls/s, {:.3} failures/s, {:.2} connections/s, {:.4} % of a core, {:.0} KiB",
@@ -124,14 +127,15 @@
         per(after.2 - failures),
         per(after.3 - opened),
         100.0 * processor / seconds / nodes as f64,
-        (resident() - before) / nodes as f64,
+        (resident_kib() - before) / nodes as f64,
     );
 }
 
-/// Returns bytes, calls, failures and connections of all nodes.
-fn totals(fleet: &Fleet) -> (u64, u64, u64, u64) {
+/// Returns the sums of bytes, calls, failures and opened connections over all
+/// nodes.
+fn totals(cluster: &Cluster) -> (u64, u64, u64, u64) {
     let mut totals = (0, 0, 0, 0);
-    for node in fleet.nodes() {
+    for node in cluster.nodes() {
         let metrics = &node.metrics;
         totals.0 += metrics.received.get() + metrics.sent.get();
         totals.1 += metrics.calls.get();
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! Nodes for tests: real peers and memberships on loopback, with fakes for
-//! the dispatcher, the configuration and the host list.
+//! Nodes for tests: real peer connections and membership on loopback, with
+//! fakes of the dispatcher, the configuration and the host list.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test binary uses a subset")]
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -21,10 +21,10 @@
 use dottereltally_store::{host, layout};
 use tokio::sync::{mpsc, watch};
 
-/// Events of one node, newest last.
+/// Events that the dispatcher of one node received, newest last.
 pub type Events = watch::Receiver<Vec<Event>>;
 
-/// Waits until an event that matches has arrived.
+/// Waits until a matching event has arrived.
 pub async fn wait_for(events: &Events, matches: impl Fn(&Event) -> bool) {
     let mut events = events.clone();
     events
@@ -33,14 +33,14 @@
         .expect("the node stopped");
 }
 
-/// A dispatcher that keeps its events.
+/// A dispatcher that records the events it receives.
 #[derive(Clone)]
 pub struct Dispatcher {
     events: watch::Sender<Vec<Event>>,
 }
 
 impl Dispatcher {
-    /// Returns a dispatcher and its events.
+    /// Returns a dispatcher and the receiver of its events.
     pub fn new() -> (Self, Events) {
         let (events, receiver) = watch::channel(Vec::new());
         (Self { events }, receiver)
@@ -61,20 +61,20 @@
     }
 }
 
-/// A service of peers with settable answers.
+/// A peer service whose answers and generation the test sets.
 pub struct Service {
     generation: watch::Sender<u64>,
     peers: Mutex<Option<peer::Handle>>,
-    /// Answers by claim and token.
+    /// Answers by claim key and attempt token.
     pub answers: Mutex<BTreeMap<(String, String), peer::Answer>>,
     messages: mpsc::UnboundedSender<(id::Node, Message)>,
 }
 
-/// Admission messages that a service took.
+/// Admission messages that a service received, with their senders.
 pub type Messages = mpsc::UnboundedReceiver<(id::Node, Message)>;
 
 impl Service {
-    /// Returns a service and the admission messages that it will take.
+    /// Returns a service and the receiver of its admission messages.
     pub fn new() -> (Arc<Self>, Messages) {
         let (messages, receiver) = mpsc::unbounded_channel();
         let service = Self {
@@ -86,20 +86,20 @@
         (Arc::new(service), receiver)
     }
 
-    /// Puts a generation in force.
+    /// Sets the generation in force.
     pub fn set_generation(&self, generation: u64) {
         self.generation.send_replace(generation);
     }
 
     /// Waits until a generation is in force.
-    pub async fn wait_generation(&self, generation: u64) {
+    pub async fn wait_for_generation(&self, generation: u64) {
         let mut receiver = self.generation.subscribe();
         let reached = receiver.wait_for(|found| *found == generation).await;
         reached.expect("the service stopped");
     }
 }
 
-/// Returns a configuration record.
+/// Returns a configuration record of this generation.
 pub fn record(generation: u64) -> layout::Configuration {
     layout::Configuration {
         generation: id::Generation(generation),
@@ -139,48 +139,48 @@
     }
 
     fn admission(&self, sender: id::Node, message: Message) {
-        // The test may have ended.
+        // The receiver is gone if the test has ended.
         let _ = self.messages.send((sender, message));
     }
 }
 
 /// A host list in memory.
 #[derive(Clone, Default)]
-pub struct List {
+pub struct HostList {
     snapshot: Arc<Mutex<host::Snapshot>>,
 }
 
-impl host::List for List {
+impl host::List for HostList {
     async fn read(&self) -> Result<host::Snapshot, host::Error> {
         Ok(self.snapshot.lock().unwrap().clone())
     }
 }
 
-/// One node.
+/// A running node.
 pub struct Node {
-    /// Its membership.
+    /// Membership.
     pub membership: membership::Handle,
-    /// Its peers.
+    /// Connections to the peers.
     pub peers: peer::Handle,
-    /// Its service.
+    /// Service that answers the peers.
     pub service: Arc<Service>,
-    /// What its dispatcher was told.
+    /// Events that its dispatcher received.
     pub events: Events,
-    /// Counters of its peers.
+    /// Counters of the peer connections.
     pub metrics: peer::Metrics,
 }
 
 impl Node {
     /// Waits until exactly these nodes are live.
-    pub async fn wait_members(&self, names: &[&str]) {
-        let wanted: BTreeSet<id::Node> = names.iter().map(|name| id::Node::from(*name)).collect();
+    pub async fn wait_for_members(&self, names: &[&str]) {
+        let expected: BTreeSet<id::Node> = names.iter().map(|name| id::Node::from(*name)).collect();
         let mut events = self.events.clone();
-        let reached = events.wait_for(|events| members(events).as_ref() == Some(&wanted));
+        let reached = events.wait_for(|events| members(events).as_ref() == Some(&expected));
         reached.await.expect("the node stopped");
     }
 }
 
-/// Returns the live nodes as last told.
+/// Returns the live nodes of the last membership event.
 fn members(events: &[Event]) -> Option<BTreeSet<id::Node>> {
     for event in events.iter().rev() {
         if let Event::Members(members) = event {
@@ -190,8 +190,9 @@
     None
 }
 
-/// Returns settings with short spans, under which a suspicion never expires.
-pub fn patient() -> Settings {
+/// Returns settings with a short period under which no suspicion expires during
+/// a test.
+pub fn endless_suspicion() -> Settings {
     Settings {
         period: Duration::from_millis(50),
         suspicion: Duration::from_hours(1),
@@ -199,8 +200,8 @@
     }
 }
 
-/// Returns settings with short spans.
-pub fn hasty() -> Settings {
+/// Returns settings with a short period and short suspicion timeouts.
+pub fn short_suspicion() -> Settings {
     Settings {
         period: Duration::from_millis(50),
         suspicion: Duration::from_millis(200),
@@ -209,32 +210,32 @@
     }
 }
 
-/// Nodes that share a host list.
-pub struct Fleet {
-    list: List,
+/// Nodes that read the same host list.
+pub struct Cluster {
+    hosts: HostList,
     nodes: BTreeMap<String, Node>,
     addresses: BTreeMap<String, String>,
     settings: Settings,
 }
 
-impl Fleet {
-    /// Starts nodes that never drop each other by suspicion.
+impl Cluster {
+    /// Starts nodes that never remove each other after a suspicion.
     pub async fn start(names: &[&str]) -> Self {
-        Self::start_with(names, patient()).await
+        Self::start_with(names, endless_suspicion()).await
     }
 
-    /// Starts nodes.
+    /// Starts nodes with these settings.
     pub async fn start_with(names: &[&str], settings: Settings) -> Self {
-        let mut fleet = Self {
-            list: List::default(),
+        let mut cluster = Self {
+            hosts: HostList::default(),
             nodes: BTreeMap::new(),
             addresses: BTreeMap::new(),
             settings,
         };
         for name in names {
-            fleet.add(name).await;
+            cluster.add(name).await;
         }
-        fleet
+        cluster
     }
 
     /// Returns all nodes.
@@ -247,7 +248,7 @@
         &self.nodes[name]
     }
 
-    /// Starts a node and lists it.
+    /// Starts a node and adds it to the host list.
     pub async fn add(&mut self, name: &str) {
         let address = self.add_unlisted(name).await;
         let entry = host::Entry {
@@ -257,13 +258,12 @@
             data_centre: "plovdiv".into(),
             standing: Standing::Live,
         };
-        let mut snapshot = self.list.snapshot.lock().unwrap();
+        let mut snapshot = self.hosts.snapshot.lock().unwrap();
         snapshot.entries.retain(|other| other.node != entry.node);
         snapshot.entries.push(entry);
     }
 
-    /// Starts a node that the host list does not name, and returns its
-    /// address.
+    /// Starts a node that is not in the host list, and returns its address.
     pub async fn add_unlisted(&mut self, name: &str) -> String {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap().to_string();
@@ -281,7 +281,7 @@
             },
             settings: self.settings.clone(),
             clock: Clock::start(),
-            hosts: hosts::spawn(self.list.clone(), hosts::Metrics::default()),
+            hosts: hosts::spawn(self.hosts.clone(), hosts::Metrics::default()),
             peers: peers.clone(),
             exchanges,
             service: service.clone(),
@@ -300,11 +300,11 @@
         address
     }
 
-    /// Stops a node without a word.
+    /// Stops a node without telling its peers, like a crash.
     pub fn stop(&mut self, name: &str) {
         let node = self.nodes.remove(name).unwrap();
         node.membership.stop();
-        // The service holds the last handle of the node's peers.
+        // Closes the connections: the service holds the last handle to them.
         node.service.peers.lock().unwrap().take();
     }
 }
