--- a/node/examples/claim_runs/main.rs
+++ b/node/examples/claim_runs/main.rs
@@ -1,11 +1,12 @@
-//! Runs the random test of claims over many seeds.
+//! Runs the randomized claim simulation over many seeds.
 
 mod simulation;
 
 use argh::FromArgs;
-use simulation::Tally;
+use simulation::Outcomes;
 
-/// Runs the random test of claims over many seeds and prints what it saw.
+/// Runs the randomized claim simulation over many seeds and prints violations
+/// and the number of attempts by outcome.
 #[derive(FromArgs)]
 struct Arguments {
     /// number of seeds
@@ -19,23 +20,23 @@
 
 fn main() -> eyre::Result<()> {
     let arguments: Arguments = argh::from_env();
-    let mut tally = Tally::default();
+    let mut outcomes = Outcomes::default();
     let mut failed = 0_u64;
     for seed in arguments.first..arguments.first + arguments.seeds {
-        let ledger = simulation::run_seed(seed);
-        tally.add(&ledger.tally);
-        if ledger.violations.is_empty() {
+        let history = simulation::run_seed(seed);
+        outcomes.add(&history.outcomes);
+        if history.violations.is_empty() {
             continue;
         }
         failed += 1;
-        for violation in &ledger.violations {
+        for violation in &history.violations {
             println!("seed {seed}: {violation}");
         }
     }
-    for (kind, count) in &tally.0 {
-        println!("{kind}: {count}");
+    for (outcome, count) in &outcomes.0 {
+        println!("{outcome}: {count}");
     }
     println!("seeds: {}, failed: {failed}", arguments.seeds);
-    eyre::ensure!(failed == 0, "{failed} seeds broke a promise");
+    eyre::ensure!(failed == 0, "{failed} seeds violated a guarantee");
     Ok(())
 }
--- a/node/examples/claim_runs/simulation/attempt.rs
+++ b/node/examples/claim_runs/simulation/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one process, and what its caller is told.
+//! One attempt of a call at one process, and what its caller is told.
 
 use std::{
     sync::{Arc, Mutex},
@@ -14,16 +14,21 @@
 use tokio::time::{self, Instant};
 
 use super::{
-    ledger,
-    world::{Process, World, hours, lock, millis},
+    cluster::{Cluster, Process, lock, random_long_pause, random_millis},
+    history,
 };
 
-/// Time from a call's effect to its answer at the most, with the clock's
-/// resolution of a millisecond.
-const ANSWER_DELAY: Duration = Duration::from_millis(11);
+/// Upper bound of the time from the effect of a key-value call to its response:
+/// half of the longest call delay, plus the clock's resolution of a millisecond.
+const MAX_RESPONSE_DELAY: Duration = Duration::from_millis(11);
 
-/// Runs one attempt at one process.
-pub async fn attempt(world: &World, process: Process, key: ledger::Key, random: &mut SmallRng) {
+/// Runs one attempt of a call at one process.
+pub async fn attempt(
+    cluster: &Cluster,
+    process: Process,
+    key: history::Key,
+    random: &mut SmallRng,
+) {
     let scope = Scope {
         workspace: id::Workspace::from("studio"),
         service: id::Service::from("bookings"),
@@ -31,13 +36,13 @@
     };
     let other_content = random.random_bool(0.02);
     let fingerprint = id::Fingerprint(u64::from(other_content));
-    let deadline = Instant::now() + millis(random, 100, 10_000);
-    let leaves = random.random_bool(0.05);
+    let deadline = Instant::now() + random_millis(random, 100, 10_000);
+    let disconnects = random.random_bool(0.05);
     let acquire = process.keeper.acquire(scope, fingerprint, deadline);
-    let result = if leaves {
-        let patience = millis(random, 0, 600);
+    let result = if disconnects {
+        let patience = random_millis(random, 0, 600);
         let Ok(result) = time::timeout(patience, acquire).await else {
-            lock(&world.ledger).count("left while claiming");
+            lock(&cluster.history).count("left while claiming");
             return;
         };
         result
@@ -47,99 +52,102 @@
     let held = match result {
         Ok(held) => held,
         Err(lost) => {
-            judge(world, &process, key, lost);
+            record_lost(cluster, &process, key, lost);
             return;
         }
     };
-    let queued = if random.random_bool(world.rates.pause) {
-        hours(random)
+    let queue_time = if random.random_bool(cluster.rates.pause) {
+        random_long_pause(random)
     } else {
-        millis(random, 0, 2_000)
+        random_millis(random, 0, 2_000)
     };
-    let dead = Arc::clone(&process.dead);
-    // A killed process must not be kept alive by the calls that wait in it.
+    let killed = Arc::clone(&process.killed);
+    // A killed process must not be kept alive by its queued calls.
     drop(process);
-    time::sleep(queued).await;
-    if *lock(&dead) {
+    time::sleep(queue_time).await;
+    if *lock(&killed) {
         std::mem::forget(held);
         return;
     }
-    go_on(world, &dead, key, held, random).await;
+    proceed(cluster, &killed, key, held, random).await;
 }
 
-fn judge(world: &World, process: &Process, key: ledger::Key, lost: Lost) {
-    let mut ledger = lock(&world.ledger);
-    if *lock(&process.dead) {
+/// Records what the caller is told if the claim was not acquired.
+fn record_lost(cluster: &Cluster, process: &Process, key: history::Key, lost: Lost) {
+    let mut history = lock(&cluster.history);
+    if *lock(&process.killed) {
         return;
     }
     match lost {
-        Lost::Replay(response) => ledger.replay(key, &response.body),
-        Lost::Running { .. } => ledger.count("running"),
-        Lost::Unknown { .. } => ledger.count("unknown"),
-        Lost::Mismatch => ledger.count("mismatch"),
-        Lost::Away { .. } => ledger.count("away"),
+        Lost::Replay(response) => history.replay(key, &response.body),
+        Lost::Running { .. } => history.count("running"),
+        Lost::Unknown { .. } => history.count("unknown"),
+        Lost::Mismatch => history.count("mismatch"),
+        Lost::Away { .. } => history.count("away"),
     }
 }
 
-/// Dispatches the call of a held claim, or gives the claim back.
-async fn go_on(
-    world: &World,
-    dead: &Mutex<bool>,
-    key: ledger::Key,
+/// Dispatches the call of a held claim, or releases or drops the claim.
+async fn proceed(
+    cluster: &Cluster,
+    killed: &Mutex<bool>,
+    key: history::Key,
     held: Held,
     random: &mut SmallRng,
 ) {
     match random.random_range(0..10) {
-        0..4 => refuse(world, key, held).await,
+        0..4 => release(cluster, key, held).await,
         4 => {
-            lock(&world.ledger).count("left while queued");
+            lock(&cluster.history).count("left while queued");
             drop(held);
         }
         5 => {
             let Ok(dispatched) = held.dispatch() else {
-                lock(&world.ledger).count("expired");
+                lock(&cluster.history).count("expired");
                 return;
             };
             let held = dispatched.undo(&());
-            lock(&world.ledger).count("undone");
-            refuse(world, key, held).await;
+            lock(&cluster.history).count("undone");
+            release(cluster, key, held).await;
         }
-        _ => run(world, dead, key, held, random).await,
+        _ => run(cluster, killed, key, held, random).await,
     }
 }
 
-async fn refuse(world: &World, key: ledger::Key, held: Held) {
+/// Releases a claim and records whether the caller may be told "not run".
+async fn release(cluster: &Cluster, key: history::Key, held: Held) {
     let result = held.release().await;
-    let mut ledger = lock(&world.ledger);
+    let mut history = lock(&cluster.history);
     match result {
-        Ok(()) => ledger.not_run(key, Instant::now() - ANSWER_DELAY),
-        Err(Error::Taken) => ledger.count("taken"),
-        Err(Error::Expired) => ledger.count("expired"),
-        Err(Error::Unconfirmed | Error::Refused(_)) => ledger.count("unconfirmed"),
+        Ok(()) => history.not_run(key, Instant::now() - MAX_RESPONSE_DELAY),
+        Err(Error::Taken) => history.count("taken"),
+        Err(Error::Expired) => history.count("expired"),
+        Err(Error::Unconfirmed | Error::Refused(_)) => history.count("unconfirmed"),
     }
 }
 
+/// Dispatches a call, which may lose its response.
 async fn run(
-    world: &World,
-    dead: &Mutex<bool>,
-    key: ledger::Key,
+    cluster: &Cluster,
+    killed: &Mutex<bool>,
+    key: history::Key,
     held: Held,
     random: &mut SmallRng,
 ) {
     let Ok(dispatched) = held.dispatch() else {
-        lock(&world.ledger).count("expired");
+        lock(&cluster.history).count("expired");
         return;
     };
-    let answer = random.random::<u64>().to_be_bytes().to_vec();
-    lock(&world.ledger).run(key, answer.clone());
-    time::sleep(millis(random, 0, 3_000)).await;
-    if *lock(dead) || random.random_bool(0.2) {
+    let response_body = random.random::<u64>().to_be_bytes().to_vec();
+    lock(&cluster.history).run(key, response_body.clone());
+    time::sleep(random_millis(random, 0, 3_000)).await;
+    if *lock(killed) || random.random_bool(0.2) {
         dispatched.lose();
         return;
     }
     dispatched.complete(Response {
         status: 200,
         content_type: String::new(),
-        body: answer,
+        body: response_body,
     });
 }
--- a/node/examples/claim_runs/simulation/world.rs
+++ b/node/examples/claim_runs/simulation/cluster.rs
@@ -1,4 +1,4 @@
-//! The nodes, their service and their network.
+//! The simulated nodes, their key-value service and their network.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -13,23 +13,23 @@
 use dottereltally_store::memory::{Call, Fault, Store};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
-use super::{ledger::Ledger, network::Network};
+use super::{history::History, network::Network};
 
 /// Number of nodes.
 pub const NODES: usize = 4;
 
-/// Delay of a call that is answered, at the most.
-const CALL_DELAY: Duration = Duration::from_millis(20);
+/// Upper bound of the delay of a call that succeeds.
+const MAX_CALL_DELAY: Duration = Duration::from_millis(20);
 
-/// Probabilities of the faults of one seed.
+/// Fault probabilities of one seed.
 #[derive(Clone, Copy, Debug)]
 pub struct Rates {
-    /// Of each fault of a call of the key-value service.
+    /// Probability of each kind of fault in a call of the key-value service.
     pub call: f64,
-    /// Of a lost message between nodes.
+    /// Probability that a message between nodes is lost.
     pub message: f64,
-    /// Of a pause of hours between the claim and the dispatch, and between
-    /// two sends of a caller.
+    /// Probability of a pause of up to 33 hours between the claim and the
+    /// dispatch, and between two sends of a caller.
     pub pause: f64,
 }
 
@@ -47,50 +47,56 @@
     }
 }
 
-/// One process of a node.
+/// A process that runs under the name of a node.
 #[derive(Clone)]
 pub struct Process {
     pub keeper: Keeper<Store, Network>,
     pub store: Store,
-    /// Set when the process is killed: it does nothing from then on.
-    pub dead: Arc<Mutex<bool>>,
+    /// Set when the process is killed; its attempts check it and then stop.
+    pub killed: Arc<Mutex<bool>>,
 }
 
-pub struct World {
+/// Nodes that share a key-value service and a network.
+pub struct Cluster {
     pub service: Store,
     pub network: Network,
     pub rates: Rates,
     pub processes: Mutex<Vec<Process>>,
-    /// Processes that were replaced but go on running.
-    pub replaced: Mutex<Vec<Process>>,
-    /// Claims that killed processes had taken over.
+    /// Processes that were replaced under their name but keep running.
+    pub superseded: Mutex<Vec<Process>>,
+    /// Number of claims that processes had taken over before they were killed.
     pub taken_over: Mutex<u64>,
-    pub ledger: Mutex<Ledger>,
+    pub history: Mutex<History>,
 }
 
+/// Locks a mutex, also if a panic has poisoned it.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-pub fn millis(random: &mut SmallRng, from: u64, to: u64) -> Duration {
+/// Draws a number of milliseconds.
+pub fn random_millis(random: &mut SmallRng, from: u64, to: u64) -> Duration {
     Duration::from_millis(random.random_range(from..to))
 }
 
-pub fn hours(random: &mut SmallRng) -> Duration {
+/// Draws a pause of a minute to 33 hours.
+pub fn random_long_pause(random: &mut SmallRng) -> Duration {
     Duration::from_mins(random.random_range(1..2_000))
 }
 
-pub fn name(index: usize) -> id::Node {
+/// Returns the name of a node.
+pub fn node_name(index: usize) -> id::Node {
     id::Node::from(format!("entry-{index}"))
 }
 
-/// Returns a function that draws the fault of each call.
+/// Returns a function that draws the fault of each call: one of three faults
+/// with the probability `rate` each, or else a short delay.
 fn faults(mut random: SmallRng, rate: f64) -> impl FnMut(Call) -> Option<Fault> + Send + 'static {
     move |_| {
         let draw: f64 = random.random();
         let kind = draw / rate.max(f64::MIN_POSITIVE);
         if kind < 1.0 {
-            return Some(Fault::Delayed(millis(&mut random, 10, 20_000)));
+            return Some(Fault::Delayed(random_millis(&mut random, 10, 20_000)));
         }
         if kind < 2.0 {
             return Some(Fault::AnswerLost);
@@ -98,11 +104,13 @@
         if kind < 3.0 {
             return Some(Fault::CallLost);
         }
-        Some(Fault::Slow(random.random_range(Duration::ZERO..CALL_DELAY)))
+        Some(Fault::Slow(
+            random.random_range(Duration::ZERO..MAX_CALL_DELAY),
+        ))
     }
 }
 
-impl World {
+impl Cluster {
     pub fn new(random: &mut SmallRng) -> Self {
         let rates = Rates::draw(random);
         let network = Network::new(SmallRng::from_rng(random), rates.message);
@@ -111,9 +119,9 @@
             network,
             rates,
             processes: Mutex::default(),
-            replaced: Mutex::default(),
+            superseded: Mutex::default(),
             taken_over: Mutex::default(),
-            ledger: Mutex::default(),
+            history: Mutex::default(),
         };
         for index in 0..NODES {
             let process = world.start(index, random);
@@ -126,9 +134,10 @@
         let store = self.service.connect();
         store.script(faults(SmallRng::from_rng(random), self.rates.call));
         let attempts = Attempts::default();
-        self.network.route(&name(index), Some(attempts.clone()));
+        self.network
+            .route(&node_name(index), Some(attempts.clone()));
         let keeper = Keeper::start(
-            name(index),
+            node_name(index),
             store.clone(),
             self.network.clone(),
             attempts,
@@ -137,7 +146,7 @@
         Process {
             keeper,
             store,
-            dead: Arc::default(),
+            killed: Arc::default(),
         }
     }
 
@@ -145,13 +154,14 @@
         lock(&self.processes)[index].clone()
     }
 
-    /// Kills a process: nothing that it does has an effect from then on.
+    /// Kills a process: its key-value calls fail and its attempts stop.
     fn kill(process: &Process) {
-        *lock(&process.dead) = true;
+        *lock(&process.killed) = true;
         process.store.set_down(true);
     }
 
-    /// Puts a new process in the place of one, which may go on running.
+    /// Starts a new process under the name of a node, and kills the old one or lets
+    /// it keep running.
     pub fn replace(&self, index: usize, kill: bool, random: &mut SmallRng) {
         let new = self.start(index, random);
         let old = std::mem::replace(&mut lock(&self.processes)[index], new);
@@ -160,6 +170,6 @@
             *lock(&self.taken_over) += old.keeper.counters().taken_over.get();
             return;
         }
-        lock(&self.replaced).push(old);
+        lock(&self.superseded).push(old);
     }
 }
--- a/node/examples/claim_runs/simulation/mod.rs
+++ b/node/examples/claim_runs/simulation/mod.rs
@@ -1,12 +1,13 @@
-//! Several nodes claim few keys over one key-value service that fails.
+//! A simulation of several nodes that claim a few idempotency keys while the
+//! key-value service and the network fail.
 //!
-//! Everything that is random is drawn from the seed and time is tokio's paused
-//! clock, so that a seed always gives the same run.
+//! All randomness is drawn from the seed and time is tokio's paused clock, so
+//! that a seed always reproduces the same run.
 
 mod attempt;
-mod ledger;
+mod cluster;
+mod history;
 mod network;
-mod world;
 
 use std::sync::Arc;
 
@@ -14,107 +15,114 @@
 use tokio::{runtime, task::JoinSet, time};
 
 use attempt::attempt;
-use world::{NODES, World, hours, lock, millis, name};
+use cluster::{Cluster, NODES, lock, node_name, random_long_pause, random_millis};
 
-pub use ledger::{Ledger, Tally};
+pub use history::{History, Outcomes};
 
 const KEYS: usize = 3;
-const CALLERS: usize = 5;
-const SENDS: usize = 6;
-const DISTURBANCES: usize = 25;
+const CALLERS_PER_KEY: usize = 5;
+const SENDS_PER_CALLER: usize = 6;
+const FAULT_CHANGES: usize = 25;
 
-/// Makes the world fail at random.
-async fn disturb(world: Arc<World>, mut random: SmallRng) {
-    for _ in 0..DISTURBANCES {
-        time::sleep(millis(&mut random, 50, 6_000)).await;
+/// Randomly takes the service down and up, replaces processes and cuts nodes off.
+///
+/// At the end the service is up for all processes that are alive.
+async fn inject_faults(cluster: Arc<Cluster>, mut random: SmallRng) {
+    for _ in 0..FAULT_CHANGES {
+        time::sleep(random_millis(&mut random, 50, 6_000)).await;
         let index = random.random_range(0..NODES);
         match random.random_range(0..9) {
             0 => {
-                for process in lock(&world.processes).iter() {
+                for process in lock(&cluster.processes).iter() {
                     process.store.set_down(true);
                 }
             }
-            1 => world.process(index).store.set_down(true),
-            2 => world.replace(index, true, &mut random),
-            3 => world.replace(index, false, &mut random),
-            4 => world.network.route(&name(index), None),
+            1 => cluster.process(index).store.set_down(true),
+            2 => cluster.replace(index, true, &mut random),
+            3 => cluster.replace(index, false, &mut random),
+            4 => cluster.network.route(&node_name(index), None),
             _ => {
-                for process in lock(&world.processes).iter() {
+                for process in lock(&cluster.processes).iter() {
                     process.store.set_down(false);
                 }
             }
         }
     }
-    for processes in [&world.processes, &world.replaced] {
+    for processes in [&cluster.processes, &cluster.superseded] {
         for process in lock(processes).iter() {
             process.store.set_down(false);
         }
     }
 }
 
-/// Sends one key several times through any nodes.
-async fn call(world: Arc<World>, key: ledger::Key, mut random: SmallRng) {
-    for _ in 0..SENDS {
-        let wait = if random.random_bool(world.rates.pause) {
-            hours(&mut random)
+/// Sends calls with one key several times, each through a random node.
+async fn run_caller(cluster: Arc<Cluster>, key: history::Key, mut random: SmallRng) {
+    for _ in 0..SENDS_PER_CALLER {
+        let pause = if random.random_bool(cluster.rates.pause) {
+            random_long_pause(&mut random)
         } else if random.random_bool(0.3) {
-            millis(&mut random, 0, 5)
+            random_millis(&mut random, 0, 5)
         } else {
-            millis(&mut random, 0, 8_000)
+            random_millis(&mut random, 0, 8_000)
         };
-        time::sleep(wait).await;
+        time::sleep(pause).await;
         let index = random.random_range(0..NODES);
-        let process = world.process(index);
-        let dead = Arc::clone(&process.dead);
-        attempt(&world, process, key, &mut random).await;
-        if *lock(&dead) {
-            lock(&world.ledger).count("killed");
+        let process = cluster.process(index);
+        let killed = Arc::clone(&process.killed);
+        attempt(&cluster, process, key, &mut random).await;
+        if *lock(&killed) {
+            lock(&cluster.history).count("killed");
         }
     }
 }
 
-async fn play(seed: u64) -> Ledger {
+async fn simulate(seed: u64) -> History {
     let mut random = SmallRng::seed_from_u64(seed);
-    let world = Arc::new(World::new(&mut random));
+    let cluster = Arc::new(Cluster::new(&mut random));
     let mut tasks = JoinSet::new();
-    tasks.spawn(disturb(Arc::clone(&world), SmallRng::from_rng(&mut random)));
+    tasks.spawn(inject_faults(
+        Arc::clone(&cluster),
+        SmallRng::from_rng(&mut random),
+    ));
     for key in 0..KEYS {
-        for _ in 0..CALLERS {
+        for _ in 0..CALLERS_PER_KEY {
             let random = SmallRng::from_rng(&mut random);
-            tasks.spawn(call(Arc::clone(&world), key, random));
+            tasks.spawn(run_caller(Arc::clone(&cluster), key, random));
         }
     }
     while let Some(result) = tasks.join_next().await {
         if let Err(error) = result {
-            let mut ledger = lock(&world.ledger);
-            ledger.violations.push(format!("assertion: {error}"));
+            let mut history = lock(&cluster.history);
+            history
+                .violations
+                .push(format!("failed assertion: {error}"));
         }
     }
-    let mut ledger = std::mem::take(&mut *lock(&world.ledger));
-    count_takeovers(&world, &mut ledger);
-    ledger
+    let mut history = std::mem::take(&mut *lock(&cluster.history));
+    count_takeovers(&cluster, &mut history);
+    history
 }
 
-fn count_takeovers(world: &World, ledger: &mut Ledger) {
-    let mut total = *lock(&world.taken_over);
-    for processes in [&world.processes, &world.replaced] {
+fn count_takeovers(cluster: &Cluster, history: &mut History) {
+    let mut total = *lock(&cluster.taken_over);
+    for processes in [&cluster.processes, &cluster.superseded] {
         for process in lock(processes).iter() {
             total += process.keeper.counters().taken_over.get();
         }
     }
-    *ledger.tally.0.entry("taken over").or_default() += total;
+    *history.outcomes.0.entry("taken over").or_default() += total;
 }
 
-/// Runs one seed.
+/// Simulates one seed and returns its history.
 ///
 /// # Panics
 ///
 /// Panics if no runtime can be built.
-pub fn run_seed(seed: u64) -> Ledger {
+pub fn run_seed(seed: u64) -> History {
     let runtime = runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
         .build()
         .expect("a runtime can be built");
-    runtime.block_on(play(seed))
+    runtime.block_on(simulate(seed))
 }
--- a/node/examples/claim_runs/simulation/network.rs
+++ b/node/examples/claim_runs/simulation/network.rs
@@ -1,4 +1,4 @@
-//! Peers that ask each other through memory.
+//! An in-memory network between the peers.
 
 use std::{
     collections::BTreeMap,
@@ -15,13 +15,13 @@
 use rand::{Rng, rngs::SmallRng};
 use tokio::time;
 
-/// Time after which a silent peer is given up.
-const SILENCE: Duration = Duration::from_millis(300);
+/// Time after which an unanswered request to a peer fails.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
 struct Inner {
     nodes: BTreeMap<id::Node, Attempts>,
     random: SmallRng,
-    loss: f64,
+    loss_rate: f64,
 }
 
 /// The network between the nodes; clones share it.
@@ -29,16 +29,17 @@
 pub struct Network(Arc<Mutex<Inner>>);
 
 impl Network {
-    /// Builds a network that loses messages with a probability.
-    pub fn new(random: SmallRng, loss: f64) -> Self {
+    /// Builds a network that loses each message with the probability `loss_rate`.
+    pub fn new(random: SmallRng, loss_rate: f64) -> Self {
         Self(Arc::new(Mutex::new(Inner {
             nodes: BTreeMap::new(),
             random,
-            loss,
+            loss_rate,
         })))
     }
 
-    /// Routes a node's name to a process, or nowhere.
+    /// Routes a node's name to the attempts of a process, or makes the node
+    /// unreachable.
     pub fn route(&self, node: &id::Node, attempts: Option<Attempts>) {
         let nodes = &mut self.lock().nodes;
         match attempts {
@@ -51,11 +52,11 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Draws whether a message is lost, and its delay.
+    /// Draws whether a message is lost, and its delay otherwise.
     fn draw(&self) -> (bool, Duration) {
         let mut inner = self.lock();
-        let rate = inner.loss;
-        let lost = inner.random.random_bool(rate);
+        let loss_rate = inner.loss_rate;
+        let lost = inner.random.random_bool(loss_rate);
         let delay = Duration::from_micros(inner.random.random_range(100..20_000));
         (lost, delay)
     }
@@ -74,7 +75,7 @@
         };
         let (lost, delay) = self.draw();
         if lost {
-            time::sleep(SILENCE).await;
+            time::sleep(REQUEST_TIMEOUT).await;
             return Err(silent());
         }
         time::sleep(delay).await;
@@ -85,7 +86,7 @@
         let answer = attempts.answer(claim, token);
         let (lost, delay) = self.draw();
         if lost {
-            time::sleep(SILENCE).await;
+            time::sleep(REQUEST_TIMEOUT).await;
             return Err(silent());
         }
         time::sleep(delay).await;
--- a/node/tests/test_claim.rs
+++ b/node/tests/test_claim.rs
@@ -1,4 +1,4 @@
-//! Claims under lost answers, outages, pauses, restarts and races.
+//! Claims under lost responses, outages, pauses, restarts and races.
 
 #[path = "../examples/claim_runs/simulation/network.rs"]
 mod network;
@@ -23,9 +23,9 @@
 
 const FINGERPRINT: id::Fingerprint = id::Fingerprint(7);
 const OTHER_FINGERPRINT: id::Fingerprint = id::Fingerprint(8);
-const PATIENCE: Duration = Duration::from_secs(30);
+const ACQUIRE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One node over the common service.
+/// A node with its own client of the shared key-value service.
 struct Node {
     name: id::Node,
     store: Store,
@@ -33,13 +33,13 @@
     keeper: Keeper<Store, Network>,
 }
 
-/// The service and the network of a test.
-struct World {
+/// The key-value service and the network that the nodes of a test share.
+struct Cluster {
     service: Store,
     network: Network,
 }
 
-impl World {
+impl Cluster {
     fn new() -> Self {
         Self {
             service: Store::default(),
@@ -70,13 +70,14 @@
         }
     }
 
-    /// Returns the only claim that the service holds.
+    /// Returns the only claim that the key-value service holds.
     async fn claim(&self) -> Option<Entry> {
         let mut entries = self.service.list(layout::CLAIMS, 10).await.unwrap();
         assert!(entries.len() <= 1, "{entries:?}");
         entries.pop()
     }
 
+    /// Returns the attempt token of the only claim.
     async fn token(&self) -> Option<String> {
         let entry = self.claim().await?;
         let record: layout::Claim = serde_json::from_slice(&entry.value).unwrap();
@@ -90,7 +91,7 @@
     }
 
     async fn acquire_as(&self, fingerprint: id::Fingerprint) -> Result<Held, Lost> {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + ACQUIRE_TIMEOUT;
         self.keeper
             .acquire(scope("pay-1"), fingerprint, deadline)
             .await
@@ -117,37 +118,37 @@
     }
 }
 
-/// Loses every transaction on its way.
+/// Loses every transaction before it reaches the service.
 fn lose_transactions(call: Call) -> Option<Fault> {
     (call == Call::Transact).then_some(Fault::CallLost)
 }
 
-/// Returns why an attempt got no claim.
-fn lost(result: Result<Held, Lost>) -> Lost {
+/// Returns why an attempt did not acquire its claim.
+fn expect_lost(result: Result<Held, Lost>) -> Lost {
     match result {
-        Ok(_) => panic!("the claim was given twice"),
+        Ok(_) => panic!("two attempts acquired the claim"),
         Err(lost) => lost,
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_claim_takes_one_transaction_and_its_return_another() {
-    let world = World::new();
-    let node = world.node("a");
+async fn a_claim_and_its_release_take_one_transaction_each() {
+    let cluster = Cluster::new();
+    let node = cluster.node("a");
     let held = node.acquire().await.unwrap();
     assert_eq!(node.transactions(), 1);
-    assert_eq!(world.token().await.as_deref(), Some(held.token()));
+    assert_eq!(cluster.token().await.as_deref(), Some(held.token()));
     held.release().await.unwrap();
     assert_eq!(node.transactions(), 2);
-    assert_eq!(world.claim().await, None);
+    assert_eq!(cluster.claim().await, None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_loser_takes_one_transaction_and_a_takeover_two() {
-    let world = World::new();
-    let (a, b, c) = (world.node("a"), world.node("b"), world.node("c"));
+async fn a_lost_attempt_takes_one_transaction_and_a_takeover_two() {
+    let cluster = Cluster::new();
+    let (a, b, c) = (cluster.node("a"), cluster.node("b"), cluster.node("c"));
     let held = a.acquire().await.unwrap();
-    let _running = lost(b.acquire().await);
+    let _running = expect_lost(b.acquire().await);
     assert_eq!(b.transactions(), 1);
     a.store.set_down(true);
     assert_eq!(held.release().await, Err(Error::Unconfirmed));
@@ -163,21 +164,21 @@
 #[case::late(&[Fault::Delayed(Duration::from_millis(700))])]
 #[case::unreachable_after_loss(&[Fault::AnswerLost, Fault::Unreachable])]
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_is_settled_with_the_same_token(#[case] faults: &[Fault]) {
-    let world = World::new();
-    let node = world.node("a");
+async fn a_transaction_without_response_is_repeated_with_the_same_token(#[case] faults: &[Fault]) {
+    let cluster = Cluster::new();
+    let node = cluster.node("a");
     for fault in faults {
         node.store.inject(Call::Transact, *fault);
     }
     let held = node.acquire().await.unwrap();
     assert_eq!(node.transactions(), faults.len() as u64 + 1);
-    assert_eq!(world.token().await.as_deref(), Some(held.token()));
+    assert_eq!(cluster.token().await.as_deref(), Some(held.token()));
 }
 
 #[tokio::test(start_paused = true)]
-async fn of_two_nodes_at_the_same_instant_one_wins_and_the_other_gets_its_answer() {
-    let world = World::new();
-    let (a, b) = (world.node("a"), world.node("b"));
+async fn of_two_concurrent_nodes_one_wins_and_the_other_gets_its_response() {
+    let cluster = Cluster::new();
+    let (a, b) = (cluster.node("a"), cluster.node("b"));
     let run = |node: Node| async move {
         match node.acquire().await {
             Ok(held) => {
@@ -198,32 +199,44 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_call_that_goes_on_is_reported_as_running() {
-    let world = World::new();
-    let (a, b) = (world.node("a"), world.node("b"));
+async fn a_call_in_progress_is_reported_as_running() {
+    let cluster = Cluster::new();
+    let (a, b) = (cluster.node("a"), cluster.node("b"));
     let _running = a.acquire().await.unwrap().dispatch().unwrap();
-    let lost = lost(b.acquire().await);
+    let lost = expect_lost(b.acquire().await);
     assert!(matches!(lost, Lost::Running { .. }), "{lost:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_is_given_again_by_the_same_node_and_by_others() {
-    let world = World::new();
-    let (a, b) = (world.node("a"), world.node("b"));
+async fn a_response_is_replayed_by_the_same_node_and_by_others() {
+    let cluster = Cluster::new();
+    let (a, b) = (cluster.node("a"), cluster.node("b"));
     let dispatched = a.acquire().await.unwrap().dispatch().unwrap();
     dispatched.complete(response("paid"));
-    assert_eq!(lost(a.acquire().await), Lost::Replay(response("paid")));
-    assert_eq!(lost(b.acquire().await), Lost::Replay(response("paid")));
+    assert_eq!(
+        expect_lost(a.acquire().await),
+        Lost::Replay(response("paid"))
+    );
+    assert_eq!(
+        expect_lost(b.acquire().await),
+        Lost::Replay(response("paid"))
+    );
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_key_used_for_another_request_is_a_mismatch() {
-    let world = World::new();
-    let (a, b) = (world.node("a"), world.node("b"));
+    let cluster = Cluster::new();
+    let (a, b) = (cluster.node("a"), cluster.node("b"));
     let held = a.acquire().await.unwrap();
-    assert_eq!(lost(b.acquire_as(OTHER_FINGERPRINT).await), Lost::Mismatch);
+    assert_eq!(
+        expect_lost(b.acquire_as(OTHER_FINGERPRINT).await),
+        Lost::Mismatch
+    );
     held.dispatch().unwrap().complete(response("paid"));
-    assert_eq!(lost(b.acquire_as(OTHER_FINGERPRINT).await), Lost::Mismatch);
+    assert_eq!(
+        expect_lost(b.acquire_as(OTHER_FINGERPRINT).await),
+        Lost::Mismatch
+    );
 }
 
 #[rstest]
@@ -231,57 +244,57 @@
 #[case::call_lost(&[Fault::CallLost])]
 #[case::both(&[Fault::AnswerLost, Fault::CallLost])]
 #[tokio::test(start_paused = true)]
-async fn a_release_with_a_lost_answer_is_settled(#[case] faults: &[Fault]) {
-    let world = World::new();
-    let node = world.node("a");
+async fn a_release_without_response_is_repeated(#[case] faults: &[Fault]) {
+    let cluster = Cluster::new();
+    let node = cluster.node("a");
     let held = node.acquire().await.unwrap();
     for fault in faults {
         node.store.inject(Call::Transact, *fault);
     }
     held.release().await.unwrap();
-    assert_eq!(world.claim().await, None);
+    assert_eq!(cluster.claim().await, None);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_release_does_not_delete_the_claim_of_another_attempt() {
-    let world = World::new();
-    let (a, b) = (world.node("a"), world.node("b"));
+    let cluster = Cluster::new();
+    let (a, b) = (cluster.node("a"), cluster.node("b"));
     let held = a.acquire().await.unwrap();
-    // The first deletion takes effect unseen; the second meets b's claim.
+    // The response to the first deletion is lost; its repetition finds b's claim.
     a.store.inject(Call::Transact, Fault::AnswerLost);
     let release = tokio::spawn(held.release());
     time::sleep(Duration::from_millis(100)).await;
     let other = b.acquire().await.unwrap();
     assert_eq!(release.await.unwrap(), Err(Error::Taken));
-    assert_eq!(world.token().await.as_deref(), Some(other.token()));
+    assert_eq!(cluster.token().await.as_deref(), Some(other.token()));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_release_during_an_outage_is_unconfirmed_and_made_up_for() {
-    let world = World::new();
-    let node = world.node("a");
+async fn a_release_during_an_outage_is_unconfirmed_and_repeated_later() {
+    let cluster = Cluster::new();
+    let node = cluster.node("a");
     let held = node.acquire().await.unwrap();
     node.store.set_down(true);
     assert_eq!(held.release().await, Err(Error::Unconfirmed));
-    assert!(world.claim().await.is_some());
+    assert!(cluster.claim().await.is_some());
     node.store.set_down(false);
     time::sleep(Duration::from_secs(5)).await;
-    assert_eq!(world.claim().await, None);
+    assert_eq!(cluster.claim().await, None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn during_an_outage_calls_are_refused_at_once_without_a_call() {
-    let world = World::new();
-    let node = world.node("a");
+async fn during_an_outage_claims_are_refused_at_once_without_a_transaction() {
+    let cluster = Cluster::new();
+    let node = cluster.node("a");
     drop(node.acquire().await.unwrap());
     time::sleep(Duration::from_secs(1)).await;
     node.store.script(|_| Some(Fault::CallLost));
-    let first = lost(node.acquire().await);
+    let first = expect_lost(node.acquire().await);
     assert!(matches!(first, Lost::Away { .. }), "{first:?}");
     time::sleep(Duration::from_secs(10)).await;
     let (before, start) = (node.transactions(), Instant::now());
     for _ in 0..100 {
-        let lost = lost(node.acquire().await);
+        let lost = expect_lost(node.acquire().await);
         assert!(matches!(lost, Lost::Away { .. }), "{lost:?}");
     }
     assert_eq!(start.elapsed(), Duration::ZERO);
@@ -290,12 +303,12 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn one_read_at_a_time_tries_a_service_that_is_away() {
-    let world = World::new();
-    let node = world.node("a");
+async fn one_read_at_a_time_probes_an_unavailable_service() {
+    let cluster = Cluster::new();
+    let node = cluster.node("a");
     drop(node.acquire().await.unwrap());
     node.store.set_down(true);
-    let _away = lost(node.acquire().await);
+    let _unavailable = expect_lost(node.acquire().await);
     let before = node.store.count();
     time::sleep(Duration::from_secs(10)).await;
     let after = node.store.count();
@@ -307,57 +320,57 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_service_that_loses_writes_holds_up_one_claim_at_a_time() {
-    let world = World::new();
-    let node = world.node("a");
+async fn a_service_that_loses_writes_delays_one_claim_at_a_time() {
+    let cluster = Cluster::new();
+    let node = cluster.node("a");
     node.acquire().await.unwrap().release().await.unwrap();
     node.store.script(lose_transactions);
-    let _away = lost(node.acquire().await);
-    let mut held_up = 0;
+    let _unavailable = expect_lost(node.acquire().await);
+    let mut delayed_rounds = 0;
     for _ in 0..200 {
         time::sleep(Duration::from_millis(50)).await;
         let start = Instant::now();
         let acquires = (0..10).map(|_| node.acquire());
         for result in futures_util::future::join_all(acquires).await {
-            let lost = lost(result);
+            let lost = expect_lost(result);
             assert!(matches!(lost, Lost::Away { .. }), "{lost:?}");
         }
-        held_up += u64::from(start.elapsed() > Duration::ZERO);
+        delayed_rounds += u64::from(start.elapsed() > Duration::ZERO);
     }
     let sent = node.keeper.counters().transactions.get();
-    println!("{held_up} of 200 rounds waited, {sent} transactions");
-    // Only a claim that is let through sends its transaction, and repeats it
-    // for two seconds, four times at the most. The first two claims came
-    // before the breaker opened.
-    assert!(sent <= 1 + 4 * (held_up + 1), "{sent}");
-    assert!(held_up > 0);
+    println!("{delayed_rounds} of 200 rounds waited, {sent} transactions");
+    // Only a claim that the breaker admits sends its transaction, and repeats it
+    // for two seconds, four times at most. The first two claims came before the
+    // breaker opened.
+    assert!(sent <= 1 + 4 * (delayed_rounds + 1), "{sent}");
+    assert!(delayed_rounds > 0);
     node.store.script(|_| None);
     time::sleep(Duration::from_secs(1)).await;
     let _held = node.acquire().await.unwrap();
-    let _again = lost(node.acquire().await);
+    let _again = expect_lost(node.acquire().await);
     assert!(node.keeper.is_available());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_drains_what_was_given_up() {
-    let world = World::new();
-    let node = world.node("a");
+async fn draining_waits_until_dropped_claims_are_released() {
+    let cluster = Cluster::new();
+    let node = cluster.node("a");
     let slow = Fault::Slow(Duration::from_secs(1));
     let held = node.acquire().await.unwrap();
     node.store.inject(Call::Transact, slow);
     drop(held);
     let soon = Instant::now() + Duration::from_millis(100);
     assert!(!node.keeper.drain(soon).await);
-    assert!(node.keeper.drain(soon + PATIENCE).await);
-    assert_eq!(world.claim().await, None);
+    assert!(node.keeper.drain(soon + ACQUIRE_TIMEOUT).await);
+    assert_eq!(cluster.claim().await, None);
     assert!(node.keeper.drain(Instant::now()).await);
 }
 
-/// Peers that never answer.
+/// Peers that never respond.
 #[derive(Clone)]
-struct Mute;
+struct UnresponsivePeers;
 
-impl Peers for Mute {
+impl Peers for UnresponsivePeers {
     async fn answer(&self, _: &id::Node, _: &str, _: &str) -> Result<Answer, peer::Error> {
         std::future::pending().await
     }
@@ -370,29 +383,29 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_holder_that_never_answers_does_not_hold_up_its_loser() {
-    let world = World::new();
-    let a = world.node("a");
+async fn an_unresponsive_holder_does_not_block_the_losing_attempt() {
+    let cluster = Cluster::new();
+    let a = cluster.node("a");
     let _held = a.acquire().await.unwrap();
     let b = Keeper::start(
         id::Node::from("b"),
-        world.service.connect(),
-        Mute,
+        cluster.service.connect(),
+        UnresponsivePeers,
         Attempts::default(),
         Limits::default(),
     );
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + ACQUIRE_TIMEOUT;
     let acquire = b.acquire(scope("pay-1"), FINGERPRINT, deadline);
-    let lost = lost(time::timeout(PATIENCE, acquire).await.unwrap());
+    let lost = expect_lost(time::timeout(ACQUIRE_TIMEOUT, acquire).await.unwrap());
     assert!(matches!(lost, Lost::Unknown { .. }), "{lost:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_that_starts_during_an_outage_claims_after_it() {
-    let world = World::new();
-    let node = world.node("a");
+async fn a_node_that_starts_during_an_outage_can_claim_after_it() {
+    let cluster = Cluster::new();
+    let node = cluster.node("a");
     node.store.set_down(true);
-    let lost = lost(node.acquire().await);
+    let lost = expect_lost(node.acquire().await);
     assert!(matches!(lost, Lost::Away { .. }), "{lost:?}");
     node.store.set_down(false);
     time::sleep(Duration::from_secs(2)).await;
@@ -401,74 +414,80 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_outage_after_the_claim_does_not_stop_the_call() {
-    let world = World::new();
-    let (a, b) = (world.node("a"), world.node("b"));
+    let cluster = Cluster::new();
+    let (a, b) = (cluster.node("a"), cluster.node("b"));
     let held = a.acquire().await.unwrap();
     a.store.set_down(true);
     held.dispatch().unwrap().complete(response("paid"));
-    assert_eq!(lost(b.acquire().await), Lost::Replay(response("paid")));
+    assert_eq!(
+        expect_lost(b.acquire().await),
+        Lost::Replay(response("paid"))
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_claim_that_an_outage_left_behind_is_given_back() {
-    let world = World::new();
-    let (a, b) = (world.node("a"), world.node("b"));
+async fn a_claim_that_an_outage_left_behind_is_taken_over() {
+    let cluster = Cluster::new();
+    let (a, b) = (cluster.node("a"), cluster.node("b"));
     // The write takes effect, and no later call of this node arrives.
     a.store.inject(Call::Transact, Fault::AnswerLost);
     a.store.script(lose_transactions);
-    let refused = lost(a.acquire().await);
+    let refused = expect_lost(a.acquire().await);
     assert!(matches!(refused, Lost::Away { .. }), "{refused:?}");
-    assert!(world.claim().await.is_some());
+    assert!(cluster.claim().await.is_some());
     let held = b.acquire().await.unwrap();
     assert_eq!(b.keeper.counters().taken_over.get(), 1);
-    assert_eq!(world.token().await.as_deref(), Some(held.token()));
-    // The late deletion by the first node spares the new claim.
+    assert_eq!(cluster.token().await.as_deref(), Some(held.token()));
+    // The first node's late deletion does not remove the new claim.
     a.store.script(|_| None);
     time::sleep(Duration::from_mins(2)).await;
-    assert_eq!(world.token().await.as_deref(), Some(held.token()));
+    assert_eq!(cluster.token().await.as_deref(), Some(held.token()));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_write_that_lands_late_neither_runs_nor_blocks_the_call() {
-    let world = World::new();
-    let (a, b) = (world.node("a"), world.node("b"));
+async fn a_delayed_write_neither_runs_nor_blocks_the_call() {
+    let cluster = Cluster::new();
+    let (a, b) = (cluster.node("a"), cluster.node("b"));
     let delay = Duration::from_mins(10);
     a.store.inject(Call::Transact, Fault::Delayed(delay));
     let held = a.acquire().await.unwrap();
     held.release().await.unwrap();
-    assert_eq!(world.claim().await, None);
+    assert_eq!(cluster.claim().await, None);
     time::sleep(delay).await;
     // The first transaction has written the released token again.
-    assert!(world.claim().await.is_some());
+    assert!(cluster.claim().await.is_some());
     let held = b.acquire().await.unwrap();
     held.dispatch().unwrap().complete(response("paid"));
-    assert_eq!(lost(a.acquire().await), Lost::Replay(response("paid")));
+    assert_eq!(
+        expect_lost(a.acquire().await),
+        Lost::Replay(response("paid"))
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_write_that_lands_after_a_run_changes_nothing() {
-    let world = World::new();
-    let (a, b) = (world.node("a"), world.node("b"));
+async fn a_write_that_takes_effect_after_a_run_changes_nothing() {
+    let cluster = Cluster::new();
+    let (a, b) = (cluster.node("a"), cluster.node("b"));
     let delay = Duration::from_mins(1);
     for _ in 0..10 {
         a.store.inject(Call::Transact, Fault::Delayed(delay));
     }
-    let refused = lost(a.acquire().await);
+    let refused = expect_lost(a.acquire().await);
     assert!(matches!(refused, Lost::Away { .. }), "{refused:?}");
     let held = b.acquire().await.unwrap();
     let token = held.token().to_owned();
     held.dispatch().unwrap().complete(response("paid"));
     time::sleep(delay * 2).await;
-    assert_eq!(world.token().await, Some(token));
+    assert_eq!(cluster.token().await, Some(token));
 }
 
 #[tokio::test(start_paused = true)]
 async fn of_two_takeovers_one_wins() {
-    let world = World::new();
-    let (a, b, c) = (world.node("a"), world.node("b"), world.node("c"));
+    let cluster = Cluster::new();
+    let (a, b, c) = (cluster.node("a"), cluster.node("b"), cluster.node("c"));
     a.store.inject(Call::Transact, Fault::AnswerLost);
     a.store.script(lose_transactions);
-    let _away = lost(a.acquire().await);
+    let _unavailable = expect_lost(a.acquire().await);
     let (first, second) = tokio::join!(b.acquire(), c.acquire());
     let results = [first, second];
     let winners = results.iter().filter(|result| result.is_ok()).count();
@@ -479,25 +498,25 @@
 
 #[tokio::test(start_paused = true)]
 async fn the_claim_of_a_restarted_node_is_never_taken_over() {
-    let world = World::new();
-    let (a, b) = (world.node("a"), world.node("b"));
+    let cluster = Cluster::new();
+    let (a, b) = (cluster.node("a"), cluster.node("b"));
     let _dispatched = a.acquire().await.unwrap().dispatch().unwrap();
-    let token = world.token().await;
-    let restarted = world.node("a");
+    let token = cluster.token().await;
+    let restarted = cluster.node("a");
     for node in [&b, &restarted] {
-        let lost = lost(node.acquire().await);
+        let lost = expect_lost(node.acquire().await);
         assert_eq!(lost, Lost::Unknown { retry_after: None });
     }
-    assert_eq!(world.token().await, token);
+    assert_eq!(cluster.token().await, token);
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_claim_of_a_silent_node_is_never_taken_over() {
-    let world = World::new();
-    let (a, b) = (world.node("a"), world.node("b"));
+async fn the_claim_of_an_unreachable_node_is_never_taken_over() {
+    let cluster = Cluster::new();
+    let (a, b) = (cluster.node("a"), cluster.node("b"));
     let held = a.acquire().await.unwrap();
-    world.network.route(&a.name, None);
-    let lost = lost(b.acquire().await);
+    cluster.network.route(&a.name, None);
+    let lost = expect_lost(b.acquire().await);
     assert!(
         matches!(
             lost,
@@ -507,128 +526,129 @@
         ),
         "{lost:?}"
     );
-    assert_eq!(world.token().await.as_deref(), Some(held.token()));
+    assert_eq!(cluster.token().await.as_deref(), Some(held.token()));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_holder_that_was_paused_past_its_lease_does_not_dispatch() {
-    let world = World::new();
-    let (a, b) = (world.node("a"), world.node("b"));
+    let cluster = Cluster::new();
+    let (a, b) = (cluster.node("a"), cluster.node("b"));
     let held = a.acquire().await.unwrap();
     time::sleep(Duration::from_hours(25)).await;
-    assert_eq!(world.claim().await, None);
+    assert_eq!(cluster.claim().await, None);
     let other = b.acquire().await.unwrap().dispatch().unwrap();
     assert_eq!(held.dispatch().err(), Some(Error::Expired));
     other.complete(response("paid"));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_holder_that_was_paused_past_its_lease_does_not_say_not_run() {
-    let world = World::new();
-    let a = world.node("a");
+async fn a_holder_that_was_paused_past_its_lease_does_not_report_not_run() {
+    let cluster = Cluster::new();
+    let a = cluster.node("a");
     let held = a.acquire().await.unwrap();
     time::sleep(Duration::from_hours(50)).await;
     assert_eq!(held.release().await, Err(Error::Expired));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_caller_who_leaves_gives_the_claim_back() {
-    let world = World::new();
-    let node = world.node("a");
+async fn the_claim_of_a_caller_that_disconnects_is_released() {
+    let cluster = Cluster::new();
+    let node = cluster.node("a");
     drop(node.acquire().await.unwrap());
     time::sleep(Duration::from_secs(1)).await;
-    assert_eq!(world.claim().await, None);
-    // The write takes effect half-way through the call that is dropped.
+    assert_eq!(cluster.claim().await, None);
+    // The write takes effect after half of its delay, before the attempt is
+    // dropped.
     let slow = Fault::Slow(Duration::from_secs(2));
     node.store.inject(Call::Transact, slow);
-    let patience = Duration::from_millis(1500);
-    assert!(time::timeout(patience, node.acquire()).await.is_err());
-    assert!(world.claim().await.is_some());
+    let caller_timeout = Duration::from_millis(1500);
+    assert!(time::timeout(caller_timeout, node.acquire()).await.is_err());
+    assert!(cluster.claim().await.is_some());
     time::sleep(Duration::from_secs(1)).await;
-    assert_eq!(world.claim().await, None);
+    assert_eq!(cluster.claim().await, None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_dispatched_call_without_an_answer_may_have_run() {
-    let world = World::new();
-    let (a, b) = (world.node("a"), world.node("b"));
+async fn a_dispatched_call_without_a_response_may_have_run() {
+    let cluster = Cluster::new();
+    let (a, b) = (cluster.node("a"), cluster.node("b"));
     drop(a.acquire().await.unwrap().dispatch().unwrap());
     for node in [&a, &b] {
-        let lost = lost(node.acquire().await);
+        let lost = expect_lost(node.acquire().await);
         assert_eq!(lost, Lost::Unknown { retry_after: None });
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_dispatch_that_handed_nothing_over_is_taken_back() {
-    let world = World::new();
-    let (a, b) = (world.node("a"), world.node("b"));
+async fn a_dispatch_that_sent_nothing_can_be_undone() {
+    let cluster = Cluster::new();
+    let (a, b) = (cluster.node("a"), cluster.node("b"));
     let held = a.acquire().await.unwrap().dispatch().unwrap().undo(&());
     held.release().await.unwrap();
     let _held = b.acquire().await.unwrap();
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lease_that_the_service_forgot_is_replaced() {
-    let world = World::new();
-    let node = world.node("a");
+async fn a_revoked_lease_is_replaced() {
+    let cluster = Cluster::new();
+    let node = cluster.node("a");
     node.acquire().await.unwrap().release().await.unwrap();
-    world.service.revoke(Lease(1)).await.unwrap();
+    cluster.service.revoke(Lease(1)).await.unwrap();
     let held = node.acquire().await.unwrap();
-    assert_eq!(world.token().await.as_deref(), Some(held.token()));
+    assert_eq!(cluster.token().await.as_deref(), Some(held.token()));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_claim_outlives_its_node_and_vanishes_after_its_retention() {
-    let world = World::new();
-    let node = world.node("a");
+async fn a_claim_outlives_its_node_and_expires_after_its_retention() {
+    let cluster = Cluster::new();
+    let node = cluster.node("a");
     time::sleep(Duration::from_mins(59)).await;
     let dispatched = node.acquire().await.unwrap().dispatch().unwrap();
     dispatched.complete(response("paid"));
     drop(node);
     time::sleep(Duration::from_hours(12)).await;
-    assert!(world.claim().await.is_some());
+    assert!(cluster.claim().await.is_some());
     time::sleep(Duration::from_hours(12)).await;
-    assert_eq!(world.claim().await, None);
+    assert_eq!(cluster.claim().await, None);
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_key_of_a_claim_is_short_whatever_the_caller_sends() {
-    let world = World::new();
-    let node = world.node("a");
-    let deadline = Instant::now() + PATIENCE;
-    let long = scope(&"k".repeat(100_000));
-    let _held = node.keeper.acquire(long, FINGERPRINT, deadline).await;
-    let entry = world.claim().await.unwrap();
+async fn the_key_of_a_claim_is_short_for_any_idempotency_key() {
+    let cluster = Cluster::new();
+    let node = cluster.node("a");
+    let deadline = Instant::now() + ACQUIRE_TIMEOUT;
+    let long_scope = scope(&"k".repeat(100_000));
+    let _held = node.keeper.acquire(long_scope, FINGERPRINT, deadline).await;
+    let entry = cluster.claim().await.unwrap();
     println!("key {}, value {}", entry.key.len(), entry.value.len());
     assert!(entry.key.len() < 128, "{}", entry.key);
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_too_large_to_keep_counts_as_lost() {
-    let world = World::new();
+async fn a_response_too_large_to_keep_counts_as_lost() {
+    let cluster = Cluster::new();
     let limits = replay::Limits {
         answer: 3,
         ..replay::Limits::default()
     };
-    let node = world.node_with("a", Attempts::new(limits));
+    let node = cluster.node_with("a", Attempts::new(limits));
     let dispatched = node.acquire().await.unwrap().dispatch().unwrap();
     dispatched.complete(response("paid"));
-    let lost = lost(node.acquire().await);
+    let lost = expect_lost(node.acquire().await);
     assert_eq!(lost, Lost::Unknown { retry_after: None });
 }
 
 #[tokio::test(start_paused = true)]
-async fn kept_answers_are_bounded_and_running_attempts_are_not_dropped() {
-    let world = World::new();
+async fn kept_responses_are_limited_and_running_attempts_are_not_evicted() {
+    let cluster = Cluster::new();
     let limits = replay::Limits {
         total: 0,
         ..replay::Limits::default()
     };
-    let node = world.node_with("a", Attempts::new(limits));
+    let node = cluster.node_with("a", Attempts::new(limits));
     let dispatched = node.acquire().await.unwrap().dispatch().unwrap();
-    let entry = world.claim().await.unwrap();
-    let token = world.token().await.unwrap();
+    let entry = cluster.claim().await.unwrap();
+    let token = cluster.token().await.unwrap();
     let answer = || node.attempts.answer(&entry.key, &token);
     assert_eq!(answer(), Answer::Running);
     dispatched.complete(response("paid"));
@@ -636,9 +656,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_attempt_is_not_known_under_another_key() {
-    let world = World::new();
-    let node = world.node("a");
+async fn an_attempt_is_unknown_under_another_key() {
+    let cluster = Cluster::new();
+    let node = cluster.node("a");
     let held = node.acquire().await.unwrap();
     let answer = node.attempts.answer("another", held.token());
     assert_eq!(answer, Answer::Unknown);
--- a/node/tests/test_claim_random.rs
+++ b/node/tests/test_claim_random.rs
@@ -1,28 +1,29 @@
-//! Random runs of claims, judged by a ledger of real runs.
+//! Randomized simulations of claims, checked against the history of actual
+//! runs.
 
 #[path = "../examples/claim_runs/simulation/mod.rs"]
 mod simulation;
 
-use simulation::{Tally, run_seed};
+use simulation::{Outcomes, run_seed};
 
 const FIRST_SEED: u64 = 0;
 const SEEDS: u64 = 150;
 const REPEATED_SEEDS: u64 = 20;
 
 #[test]
-fn no_seed_breaks_a_promise() {
-    let mut tally = Tally::default();
+fn no_seed_violates_a_guarantee() {
+    let mut outcomes = Outcomes::default();
     for seed in FIRST_SEED..FIRST_SEED + SEEDS {
-        let ledger = run_seed(seed);
+        let history = run_seed(seed);
         assert!(
-            ledger.violations.is_empty(),
+            history.violations.is_empty(),
             "seed {seed}: {:#?}",
-            ledger.violations
+            history.violations
         );
-        tally.add(&ledger.tally);
+        outcomes.add(&history.outcomes);
     }
-    println!("{SEEDS} seeds from {FIRST_SEED}: {tally:#?}");
-    let kinds = [
+    println!("{SEEDS} seeds from {FIRST_SEED}: {outcomes:#?}");
+    let expected_outcomes = [
         "run",
         "replay",
         "not run",
@@ -39,14 +40,21 @@
         "left while claiming",
         "left while queued",
     ];
-    for kind in kinds {
-        assert!(tally.0.contains_key(kind), "no attempt ended as {kind:?}");
+    for outcome in expected_outcomes {
+        assert!(
+            outcomes.0.contains_key(outcome),
+            "no attempt ended as {outcome:?}"
+        );
     }
 }
 
 #[test]
-fn a_seed_gives_the_same_run_each_time() {
+fn a_seed_reproduces_the_same_run() {
     for seed in FIRST_SEED..FIRST_SEED + REPEATED_SEEDS {
-        assert_eq!(run_seed(seed).tally, run_seed(seed).tally, "seed {seed}");
+        assert_eq!(
+            run_seed(seed).outcomes,
+            run_seed(seed).outcomes,
+            "seed {seed}"
+        );
     }
 }
