--- a/node/examples/path_cost.rs
+++ b/node/examples/path_cost.rs
@@ -1,5 +1,5 @@
-//! Measures what a node takes for a request, a streamed token, a stream that
-//! is open and a connection that is idle.
+//! Measures the processor time of a node per request and per streamed token, and
+//! its memory per open stream and per idle connection.
 //!
 //! `cargo run --release -p dottereltally --example path_cost`, after
 //! `cargo build --release --workspace --bins --examples`.
@@ -19,24 +19,25 @@
 
 /// Node that is measured.
 const NODE: &str = "entry-1";
-/// Requests at a time.
+/// Number of concurrent requests.
 const CONCURRENCY: usize = 32;
-/// Plain requests of one measurement.
+/// Number of plain requests in one measurement.
 const REQUESTS: usize = 8_000;
-/// Streams of one measurement.
+/// Number of streams in one measurement.
 const STREAMS: usize = 64;
-/// Tokens of a short and of a long stream.
+/// Tokens of a short and of a long stream; the difference of their costs is the
+/// cost of the tokens alone.
 const TOKENS: [u64; 2] = [50, 1_050];
-/// Streams held open for the measurement of memory.
+/// Number of streams held open while memory is measured.
 const OPEN_STREAMS: usize = 200;
-/// Connections held idle for the measurement of memory.
+/// Number of connections held idle while memory is measured.
 const IDLE_CONNECTIONS: usize = 2_000;
 
-/// What a node has taken so far.
+/// Processor time and memory that a node uses.
 #[derive(Clone, Copy, Debug)]
-struct Taken {
-    seconds: f64,
-    bytes: f64,
+struct Usage {
+    processor_seconds: f64,
+    resident_bytes: f64,
 }
 
 #[tokio::main]
@@ -48,61 +49,63 @@
         settings: "limits: {head_timeout: 60s}".to_owned(),
     };
     let deployment = fixture.start().await?;
-    idle(&deployment).await?;
-    plain(&deployment).await?;
-    streams(&deployment).await?;
-    connections(&deployment).await?;
-    open_streams(&deployment).await
+    measure_idle(&deployment).await?;
+    measure_plain(&deployment).await?;
+    measure_streams(&deployment).await?;
+    measure_connections(&deployment).await?;
+    measure_open_streams(&deployment).await
 }
 
-async fn taken(deployment: &Deployment) -> Result<Taken> {
+async fn usage(deployment: &Deployment) -> Result<Usage> {
     let address = deployment.operations(NODE)?;
     let page = Call::new(&address, Method::GET, "/metrics").text().await?;
     let read = |name: &str| -> Result<f64> {
         let line = page.text.lines().find(|line| line.starts_with(name));
         let value = line.and_then(|line| line.rsplit(' ').next());
-        Ok(value.ok_or_else(|| eyre!("no {name}"))?.parse()?)
+        Ok(value
+            .ok_or_else(|| eyre!("the metrics page has no {name}"))?
+            .parse()?)
     };
-    Ok(Taken {
-        seconds: read("dottereltally_process_cpu_seconds_total")?,
-        bytes: read("dottereltally_process_resident_memory_bytes")?,
+    Ok(Usage {
+        processor_seconds: read("dottereltally_process_cpu_seconds_total")?,
+        resident_bytes: read("dottereltally_process_resident_memory_bytes")?,
     })
 }
 
-async fn idle(deployment: &Deployment) -> Result<()> {
-    let before = taken(deployment).await?;
+async fn measure_idle(deployment: &Deployment) -> Result<()> {
+    let before = usage(deployment).await?;
     let span = Duration::from_secs(5);
     tokio::time::sleep(span).await;
-    let after = taken(deployment).await?;
+    let after = usage(deployment).await?;
     println!(
         "idle: {:.2}% of a core, {:.1} MiB resident",
-        100.0 * (after.seconds - before.seconds) / span.as_secs_f64(),
-        after.bytes / 1_048_576.0
+        100.0 * (after.processor_seconds - before.processor_seconds) / span.as_secs_f64(),
+        after.resident_bytes / 1_048_576.0
     );
     Ok(())
 }
 
-/// Sends requests, `CONCURRENCY` at a time; returns the number that failed.
+/// Sends requests, `CONCURRENCY` at a time, and returns the number that failed.
 async fn send(calls: Vec<Call>) -> Result<usize> {
     let mut failed = 0;
     let mut running = JoinSet::new();
     for call in calls {
         if running.len() == CONCURRENCY {
-            failed += ended(&mut running).await?;
+            failed += next_failed(&mut running).await?;
         }
         running.spawn(async move {
             call.text()
                 .await
-                .is_ok_and(|whole| whole.status.is_success())
+                .is_ok_and(|response| response.status.is_success())
         });
     }
     while !running.is_empty() {
-        failed += ended(&mut running).await?;
+        failed += next_failed(&mut running).await?;
     }
     Ok(failed)
 }
 
-async fn ended(running: &mut JoinSet<bool>) -> Result<usize> {
+async fn next_failed(running: &mut JoinSet<bool>) -> Result<usize> {
     match running.join_next().await {
         Some(succeeded) => Ok(usize::from(!succeeded?)),
         None => Ok(0),
@@ -110,13 +113,13 @@
 }
 
 #[expect(clippy::cast_precision_loss, reason = "counts are small")]
-async fn plain(deployment: &Deployment) -> Result<()> {
+async fn measure_plain(deployment: &Deployment) -> Result<()> {
     let address = deployment.callers(NODE)?;
-    let before = taken(deployment).await?;
+    let before = usage(deployment).await?;
     let started = Instant::now();
     let call = Call::new(&address, Method::GET, "/tickets/1").key(KEY);
     let failed = send(vec![call; REQUESTS]).await?;
-    let spent = taken(deployment).await?.seconds - before.seconds;
+    let spent = usage(deployment).await?.processor_seconds - before.processor_seconds;
     println!(
         "plain requests, a connection each: {:.0} us of processor time each, {:.0}/s from one client, {failed} of {REQUESTS} failed",
         1e6 * spent / REQUESTS as f64,
@@ -138,17 +141,17 @@
 }
 
 #[expect(clippy::cast_precision_loss, reason = "counts are small")]
-async fn streams(deployment: &Deployment) -> Result<()> {
+async fn measure_streams(deployment: &Deployment) -> Result<()> {
     let address = deployment.callers(NODE)?;
     let mut spent = Vec::new();
     for tokens in TOKENS {
-        let before = taken(deployment).await?;
+        let before = usage(deployment).await?;
         let mut calls = Vec::new();
         for number in 0..STREAMS {
             calls.push(chat(&address, tokens, number));
         }
         let failed = send(calls).await?;
-        spent.push(taken(deployment).await?.seconds - before.seconds);
+        spent.push(usage(deployment).await?.processor_seconds - before.processor_seconds);
         println!("{STREAMS} streams of {tokens} tokens: {failed} failed");
     }
     let tokens = (TOKENS[1] - TOKENS[0]) as f64 * STREAMS as f64;
@@ -160,40 +163,40 @@
 }
 
 #[expect(clippy::cast_precision_loss, reason = "counts are small")]
-async fn connections(deployment: &Deployment) -> Result<()> {
+async fn measure_connections(deployment: &Deployment) -> Result<()> {
     let address = deployment.callers(NODE)?;
-    let before = taken(deployment).await?;
+    let before = usage(deployment).await?;
     let mut held = Vec::new();
     for _ in 0..IDLE_CONNECTIONS {
         held.push(TcpStream::connect(&address).await?);
     }
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let after = taken(deployment).await?;
+    let after = usage(deployment).await?;
     println!(
         "idle connections: {:.1} KiB each",
-        (after.bytes - before.bytes) / 1024.0 / IDLE_CONNECTIONS as f64
+        (after.resident_bytes - before.resident_bytes) / 1024.0 / IDLE_CONNECTIONS as f64
     );
     Ok(())
 }
 
 #[expect(clippy::cast_precision_loss, reason = "counts are small")]
-async fn open_streams(deployment: &Deployment) -> Result<()> {
+async fn measure_open_streams(deployment: &Deployment) -> Result<()> {
     let address = deployment.callers(NODE)?;
-    let before = taken(deployment).await?;
+    let before = usage(deployment).await?;
     let mut held = Vec::new();
     for number in 0..OPEN_STREAMS {
         held.push(chat(&address, 2_000, number).send().await?);
     }
     eventually("the streams run", async || {
         held.iter()
-            .all(|answer| answer.status.is_success())
+            .all(|response| response.status.is_success())
             .then_some(())
     })
     .await?;
-    let after = taken(deployment).await?;
+    let after = usage(deployment).await?;
     println!(
         "open streams, both connections included: {:.1} KiB each",
-        (after.bytes - before.bytes) / 1024.0 / OPEN_STREAMS as f64
+        (after.resident_bytes - before.resident_bytes) / 1024.0 / OPEN_STREAMS as f64
     );
     Ok(())
 }
