--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -75,11 +75,11 @@
     /// Returns the id of the last event that the caller already has.
     #[must_use]
     pub fn last_event_id(&self) -> Option<u64> {
-        self.head.after
+        self.head.last_event_id
     }
 
-    /// Builds the message to an endpoint; a resumed stream goes on after
-    /// `last_event_id`.
+    /// Builds the message to an endpoint; a resumed stream continues
+    /// after `last_event_id`.
     fn message(
         &self,
         dialect: &impl Dialect,
@@ -91,8 +91,8 @@
             remaining,
             endpoint,
             workspace: self.workspace.as_ref(),
-            keyed: self.keys_required,
-            after: last_event_id.or(self.head.after),
+            keys_required: self.keys_required,
+            last_event_id: last_event_id.or(self.head.last_event_id),
         };
         let mut message = Request::new(Full::new(self.body.clone()));
         *message.method_mut() = self.method.clone();
@@ -199,7 +199,7 @@
     }
 }
 
-/// Returns what the dispatcher is told of a rejection with this status.
+/// Returns the outcome of a rejection with this status, for the dispatcher.
 #[must_use]
 pub fn rejection_outcome(status: StatusCode) -> Outcome {
     if status == StatusCode::MISDIRECTED_REQUEST {
@@ -293,7 +293,7 @@
     (first_event_deadline, deadline): (Instant, Instant),
 ) -> Attempt {
     let (mut parts, body) = response.into_parts();
-    let head = chain.dialect.answer(&parts.headers);
+    let head = chain.dialect.read_answer(&parts.headers);
     if let Some((running, waiting)) = head.load {
         chain.admission.apply(|dispatcher, now| {
             dispatcher.record_endpoint_load(now, &choice.endpoint, running, waiting);
--- a/gateway/src/chain.rs
+++ b/gateway/src/chain.rs
@@ -40,7 +40,7 @@
     relay::Relay,
 };
 
-/// Retry delay that callers are told if nothing better is known.
+/// Retry delay of refusals for which no better one is known.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Failed connection attempts after which a request is given up.
 const MAX_CONNECT_FAILURES: u32 = 6;
@@ -144,7 +144,7 @@
         // behind it (request smuggling), so nothing more is read from the
         // connection of a request with a transfer encoding.
         let chunked = parts.headers.contains_key(TRANSFER_ENCODING);
-        let (mut response, close) = match self.dialect.read(&parts.headers) {
+        let (mut response, close) = match self.dialect.read_request(&parts.headers) {
             Ok(head) => {
                 let correlation = head.correlation.clone();
                 let outcome = Arc::clone(&self)
@@ -378,7 +378,7 @@
                 Ok(Response::from_parts(answer.parts, Body::full(answer.body)))
             }
             Some(Fallback::Refused(refused)) => Err(refused),
-            None => Err(last_unreachable(progress.may_have_run)),
+            None => Err(refuse_unreachable(progress.may_have_run)),
         }
     }
 
@@ -463,12 +463,12 @@
                 self.record_unreachable(&choice.endpoint);
                 progress.connect_failures += 1;
                 progress.tried.push(choice.endpoint.clone());
-                Next::Retry(last_unreachable(progress.may_have_run).into())
+                Next::Retry(refuse_unreachable(progress.may_have_run).into())
             }
             Attempt::Rejected { permit, status } => {
                 permit.end(attempt::rejection_outcome(status));
                 progress.record_send(choice);
-                Next::Retry(last_rejected(progress.may_have_run).into())
+                Next::Retry(refuse_rejected(progress.may_have_run).into())
             }
             Attempt::Broken { permit, .. } => {
                 permit.end(Outcome::Broken);
@@ -574,7 +574,7 @@
 
 impl Fallback {
     /// Returns the newer one, unless only the older one is an endpoint's
-    /// answer, which tells the caller more than a refusal.
+    /// answer, which says more to the caller than a refusal.
     fn prefer_answer(older: Option<Self>, newer: Self) -> Self {
         match (older, &newer) {
             (Some(answer @ Self::Answer(..)), Self::Refused(_)) => answer,
@@ -623,9 +623,9 @@
     }
 }
 
-/// Returns the refusal if the last endpoint could not be reached; an earlier
-/// one may have run the request.
-fn last_unreachable(may_have_run: bool) -> Refused {
+/// Refuses a request whose last endpoint could not be reached; an earlier one
+/// may have run it.
+fn refuse_unreachable(may_have_run: bool) -> Refused {
     if may_have_run {
         return Refused::may_have_run(
             StatusCode::BAD_GATEWAY,
@@ -639,11 +639,11 @@
     })
 }
 
-/// Returns the refusal if the last endpoint rejected the request; an earlier
-/// one may have run it.
-fn last_rejected(may_have_run: bool) -> Refused {
+/// Refuses a request that its last endpoint rejected; an earlier one may have
+/// run it.
+fn refuse_rejected(may_have_run: bool) -> Refused {
     if may_have_run {
-        return last_unreachable(true);
+        return refuse_unreachable(true);
     }
     Refused::from_core(refusal::Refusal {
         reason: refusal::Reason::Overload,
@@ -689,7 +689,7 @@
     let Some((prompt, most)) = head.tokens else {
         return (0, 0);
     };
-    let expected = head.expected.unwrap_or(most);
+    let expected = head.expected_output.unwrap_or(most);
     (prompt, expected.clamp(1, most.max(1)))
 }
 
--- a/gateway/src/dialect.rs
+++ b/gateway/src/dialect.rs
@@ -18,19 +18,19 @@
 pub struct Head {
     /// Identifies the caller's attempt; endpoints repeat it in their answers.
     pub correlation: String,
-    /// Time for which the caller still waits.
+    /// Time that the caller will still wait.
     pub remaining: Option<Duration>,
     /// Tokens of the prompt, and the most that the answer may have.
     pub tokens: Option<(u64, u64)>,
     /// Tokens that the caller expects the answer to have.
-    pub expected: Option<u64>,
+    pub expected_output: Option<u64>,
     /// The caller's key.
     pub key: Option<String>,
     /// Id of the last event that the caller already has of a stream.
-    pub after: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
-/// What an endpoint is told in addition to the caller's own headers.
+/// What is sent to an endpoint in addition to the caller's own headers.
 #[derive(Clone, Copy, Debug)]
 pub struct Forward<'a> {
     /// Time that is left for the answer.
@@ -41,9 +41,9 @@
     /// The caller's workspace.
     pub workspace: Option<&'a id::Workspace>,
     /// Whether callers need keys, which are then not forwarded.
-    pub keyed: bool,
+    pub keys_required: bool,
     /// Id of the event after which the stream is resumed.
-    pub after: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// What the headers of an endpoint's answer say.
@@ -67,16 +67,16 @@
     ///
     /// Fails if a header that matters to the gateway is missing, repeated or
     /// unreadable.
-    fn read(&self, headers: &HeaderMap) -> Result<Head, Malformed>;
+    fn read_request(&self, headers: &HeaderMap) -> Result<Head, Malformed>;
 
     /// Returns the headers for an endpoint.
     fn forward(&self, headers: &HeaderMap, forward: &Forward<'_>) -> HeaderMap;
 
     /// Reads the headers of an endpoint's answer.
-    fn answer(&self, headers: &HeaderMap) -> Answer;
+    fn read_answer(&self, headers: &HeaderMap) -> Answer;
 
     /// Adds the id of the caller's attempt to the headers of a refusal.
-    fn refuse(&self, headers: &mut HeaderMap, correlation: &str);
+    fn mark_refusal(&self, headers: &mut HeaderMap, correlation: &str);
 
     /// Returns the value of `Retry-After` in the format that callers expect.
     fn retry_after(&self, delay: Duration) -> HeaderValue;
--- a/gateway/src/refusal.rs
+++ b/gateway/src/refusal.rs
@@ -14,7 +14,7 @@
 /// A refusal of a request.
 #[derive(Clone, Debug)]
 pub struct Refused {
-    /// The problem that the caller is told.
+    /// The problem that is sent to the caller.
     pub problem: Problem,
     /// When the caller may try again, if that can help.
     pub retry_after: Option<Duration>,
@@ -93,7 +93,7 @@
         if let Some(delay) = self.retry_after {
             headers.insert(RETRY_AFTER, dialect.retry_after(delay));
         }
-        dialect.refuse(headers, correlation);
+        dialect.mark_refusal(headers, correlation);
         response
     }
 }
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -50,7 +50,7 @@
 }
 
 impl Dialect for TestHeaders {
-    fn read(&self, headers: &HeaderMap) -> Result<Head, Malformed> {
+    fn read_request(&self, headers: &HeaderMap) -> Result<Head, Malformed> {
         let correlation =
             text(headers, "x-id").ok_or_else(|| Malformed("send `x-id`".to_owned()))?;
         Ok(Head {
@@ -59,7 +59,7 @@
                 .and_then(|left| left.parse().ok())
                 .map(Duration::from_millis),
             key: text(headers, "x-key"),
-            after: text(headers, "x-after").and_then(|after| after.parse().ok()),
+            last_event_id: text(headers, "x-after").and_then(|after| after.parse().ok()),
             ..Head::default()
         })
     }
@@ -75,13 +75,13 @@
             let workspace = HeaderValue::from_str(workspace.as_str()).unwrap();
             headers.insert("x-workspace", workspace);
         }
-        if let Some(after) = forward.after {
-            headers.insert("x-after", HeaderValue::from(after));
+        if let Some(last_event_id) = forward.last_event_id {
+            headers.insert("x-after", HeaderValue::from(last_event_id));
         }
         headers
     }
 
-    fn answer(&self, headers: &HeaderMap) -> Answer {
+    fn read_answer(&self, headers: &HeaderMap) -> Answer {
         Answer {
             correlation: text(headers, "x-id"),
             sealed: headers.contains_key("x-seal"),
@@ -90,7 +90,7 @@
         }
     }
 
-    fn refuse(&self, headers: &mut HeaderMap, correlation: &str) {
+    fn mark_refusal(&self, headers: &mut HeaderMap, correlation: &str) {
         if let Ok(value) = HeaderValue::from_str(correlation) {
             headers.insert("x-id", value);
         }
