--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -1,5 +1,5 @@
 //! Shares the dispatcher between the tasks that serve requests, and lets the
-//! node's home decide while there is one.
+//! node's coordinator decide while there is one.
 
 use std::{
     collections::HashMap,
@@ -20,7 +20,7 @@
 /// The chosen endpoint, or why the request is refused.
 pub type Decision = Result<Choice, Refusal>;
 
-/// A command to the node's home.
+/// A command to the node's coordinator.
 #[derive(Debug)]
 pub enum Command {
     /// Choose an endpoint for a request.
@@ -35,8 +35,8 @@
 
 struct State {
     dispatcher: Dispatcher,
-    /// Sends commands to the home, while there is one.
-    home: Option<Commands>,
+    /// Sends commands to the coordinator, while there is one.
+    coordinator: Option<Commands>,
     waiting: HashMap<id::Request, oneshot::Sender<Decision>>,
 }
 
@@ -58,7 +58,7 @@
     pub fn new(dispatcher: Dispatcher, clock: Clock) -> Self {
         let state = State {
             dispatcher,
-            home: None,
+            coordinator: None,
             waiting: HashMap::new(),
         };
         Self {
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Waits until an endpoint is chosen, by the node's home if there is one
-    /// and by this node's own dispatcher otherwise.
+    /// Waits until an endpoint is chosen, by the node's coordinator if there is
+    /// one and by this node's own dispatcher otherwise.
     ///
     /// Dropping the future withdraws the request.
     ///
@@ -79,9 +79,11 @@
     ///
     /// Fails with the refusal of the node that decided.
     pub async fn admit(&self, request: Request) -> Result<(Choice, Permit), Refusal> {
-        let home = self.lock().home.clone();
-        if let Some(home) = home
-            && let Some(decided) = self.admit_by_home(home, request.clone()).await
+        let coordinator = self.lock().coordinator.clone();
+        if let Some(coordinator) = coordinator
+            && let Some(decided) = self
+                .admit_by_coordinator(coordinator, request.clone())
+                .await
         {
             return decided;
         }
@@ -114,18 +116,20 @@
         }
     }
 
-    /// Lets the home decide; none if it can't, or if this node can't use the
-    /// endpoint that it chose.
-    async fn admit_by_home(
+    /// Lets the coordinator decide; none if it can't, or if this node can't use
+    /// the endpoint that it chose.
+    async fn admit_by_coordinator(
         &self,
-        home: Commands,
+        coordinator: Commands,
         request: Request,
     ) -> Option<Result<(Choice, Permit), Refusal>> {
         let id = self.next_request_id();
         let (reply, decision) = oneshot::channel();
-        home.send(Command::Admit(id, request.clone(), reply)).ok()?;
+        coordinator
+            .send(Command::Admit(id, request.clone(), reply))
+            .ok()?;
         // Dropping the permit withdraws the request.
-        let permit = self.permit(id, Some(home.clone()));
+        let permit = self.permit(id, Some(coordinator.clone()));
         let Ok(decision) = decision.await else {
             permit.disarm();
             return None;
@@ -134,9 +138,9 @@
             Ok(choice) => {
                 let now = self.shared.clock.now();
                 let mut state = self.lock();
-                // The link may have ended since the home decided.
-                let current = state.home.as_ref();
-                let delegated = current.is_some_and(|current| current.same_channel(&home));
+                // The link may have ended since the coordinator decided.
+                let current = state.coordinator.as_ref();
+                let delegated = current.is_some_and(|current| current.same_channel(&coordinator));
                 let endpoint = &choice.endpoint;
                 if !state
                     .dispatcher
@@ -145,7 +149,7 @@
                     drop(state);
                     tracing::info!(
                         endpoint = %choice.endpoint,
-                        "the endpoint chosen by the home takes no new requests: this node decides"
+                        "the endpoint chosen by the coordinator takes no new requests: this node decides"
                     );
                     return None;
                 }
@@ -158,24 +162,24 @@
         }
     }
 
-    /// Sets who decides: the home that receives `commands`, or this node if there
-    /// is none.
-    pub fn set_home(&self, commands: Option<Commands>) {
+    /// Sets who decides: the coordinator that receives `commands`, or this node
+    /// if there is none.
+    pub fn set_coordinator(&self, commands: Option<Commands>) {
         let mut state = self.lock();
         if commands.is_none() {
             state.dispatcher.count_locally();
         }
-        state.home = commands;
+        state.coordinator = commands;
     }
 
-    /// Returns whether a home decides for this node.
+    /// Returns whether a coordinator decides for this node.
     #[must_use]
-    pub fn has_home(&self) -> bool {
-        self.lock().home.is_some()
+    pub fn has_coordinator(&self) -> bool {
+        self.lock().coordinator.is_some()
     }
 
     /// Counts all requests of this node at its own dispatcher again, also those
-    /// that a home decided on; returns the counts by endpoint.
+    /// that a coordinator decided on; returns the counts by endpoint.
     #[must_use]
     pub fn count_locally(&self) -> Vec<(id::Endpoint, Load)> {
         self.lock().dispatcher.count_locally()
@@ -185,11 +189,11 @@
         id::Request(self.shared.next_request.fetch_add(1, Ordering::Relaxed))
     }
 
-    fn permit(&self, id: id::Request, home: Option<Commands>) -> Permit {
+    fn permit(&self, id: id::Request, coordinator: Option<Commands>) -> Permit {
         Permit {
             handle: self.clone(),
             id,
-            home,
+            coordinator,
             ended: false,
         }
     }
@@ -241,52 +245,52 @@
     }
 }
 
-/// A request's place in the queue, then at an endpoint; dropping it withdraws
-/// the request.
+/// A request's place in the queue, then its slot at an endpoint; dropping it
+/// withdraws the request.
 pub struct Permit {
     handle: Handle,
     id: id::Request,
-    /// Sends commands to the home, if the home decided.
-    home: Option<Commands>,
+    /// Sends commands to the coordinator, if the coordinator decided.
+    coordinator: Option<Commands>,
     ended: bool,
 }
 
 impl Permit {
-    /// Returns whether the home decided on the request.
+    /// Returns whether the coordinator decided on the request.
     #[must_use]
     pub fn is_delegated(&self) -> bool {
-        self.home.is_some()
+        self.coordinator.is_some()
     }
 
     /// Records that the first byte of the answer arrived.
     pub fn record_first_byte(&self) {
         let id = self.id;
-        self.notify_home(Command::FirstByte(id));
+        self.notify_coordinator(Command::FirstByte(id));
         self.handle.apply(|dispatcher, now| {
             dispatcher.record_first_byte(now, id);
             Vec::new()
         });
     }
 
-    /// Releases the place and records how the request ended.
+    /// Releases the slot and records how the request ended.
     pub fn end(mut self, outcome: Outcome) {
         self.ended = true;
         let id = self.id;
-        self.notify_home(Command::End(id, outcome));
+        self.notify_coordinator(Command::End(id, outcome));
         self.handle
             .apply(|dispatcher, now| dispatcher.finish(now, id, outcome));
     }
 
     /// Drops the permit without effect: the node that decided has already
-    /// released the place.
+    /// released the slot.
     fn disarm(mut self) {
         self.ended = true;
     }
 
-    fn notify_home(&self, command: Command) {
-        if let Some(home) = &self.home {
-            // A home that is gone has released the place itself.
-            let _gone = home.send(command);
+    fn notify_coordinator(&self, command: Command) {
+        if let Some(coordinator) = &self.coordinator {
+            // A coordinator that is gone has released the slot itself.
+            let _gone = coordinator.send(command);
         }
     }
 }
@@ -297,7 +301,7 @@
             return;
         }
         let id = self.id;
-        self.notify_home(Command::End(id, Outcome::Cancelled));
+        self.notify_coordinator(Command::End(id, Outcome::Cancelled));
         self.handle.lock().waiting.remove(&id);
         self.handle
             .apply(|dispatcher, now| dispatcher.cancel(now, id));
--- a/gateway/src/coordinator.rs
+++ b/gateway/src/coordinator.rs
@@ -1,13 +1,14 @@
-//! The home node of a data centre: it chooses the endpoints for the requests of
-//! all nodes there, so that the places of endpoints are counted exactly and
-//! urgent requests go first, whichever node received them.
+//! The coordinator of a data centre: one of its nodes, which chooses the
+//! endpoints for the requests of all nodes there, so that the slots of
+//! endpoints are counted exactly and urgent requests go first, whichever node
+//! received them.
 //!
 //! Only decisions are delegated. The node that holds a caller's connection
 //! sends the request to the endpoint itself, and decides alone while it has no
-//! home.
+//! coordinator.
 
-mod desk;
 mod link;
+mod session;
 mod wire;
 
 use std::cmp::Reverse;
@@ -15,14 +16,14 @@
 use dottereltally_lib::{id, rendezvous};
 
 pub use self::{
-    desk::Desk,
     link::{Failure, Link},
+    session::Session,
 };
 use crate::directory::Node;
 
 /// Ranks the nodes of a data centre that other nodes can call; the first one is
-/// the home. Larger hosts come first; a hash, the same at every node, breaks
-/// ties.
+/// the coordinator. Larger hosts come first; a hash, the same at every node,
+/// breaks ties.
 #[must_use]
 pub fn rank<'a>(
     data_centre: &id::DataCentre,
--- a/gateway/src/coordinator/link.rs
+++ b/gateway/src/coordinator/link.rs
@@ -1,5 +1,5 @@
-//! A node's side of a link: lets its home decide, and detects when the home is
-//! gone.
+//! A node's side of a link: lets its coordinator decide, and detects when the
+//! coordinator is gone.
 
 use std::{
     cell::Cell,
@@ -23,34 +23,34 @@
 use crate::{
     admission::{self, Command},
     beat::{length, write_loads},
+    coordinator::wire,
     directory::Node,
     exchange,
-    home::wire,
 };
 
-/// Timeout for connecting to a home, and for its first answer; a round trip
-/// within a data centre takes a millisecond.
+/// Timeout for connecting to a coordinator, and for its first answer; a round
+/// trip within a data centre takes a millisecond.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time without an answer from the home, while requests wait there, after which
-/// it is pinged.
+/// Time without an answer from the coordinator, while requests wait there,
+/// after which it is pinged.
 const QUIET_BEFORE_PING: Duration = Duration::from_millis(150);
 
 /// Timeout of a ping; a request has only a few hundred milliseconds in all to be
 /// on time.
 const PING_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time between two checks of the home.
+/// Time between two checks of the coordinator.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Nodes at the top of the ranking that are tried as home; while all nodes of a
-/// data centre start, none is ready, and deciding alone does as well.
+/// Nodes at the top of the ranking that are tried as coordinator; while all
+/// nodes of a data centre start, none is ready, and deciding alone will do.
 const MAX_CANDIDATES: usize = 3;
 
-/// Time for which a home that failed is skipped.
-const FAILED_HOME_COOLDOWN: Duration = Duration::from_secs(1);
+/// Time for which a coordinator that failed is skipped.
+const FAILED_COORDINATOR_COOLDOWN: Duration = Duration::from_secs(1);
 
-/// Why a home does not decide for this node any more.
+/// Why a coordinator does not decide for this node any more.
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
     /// It can't be called.
@@ -59,8 +59,8 @@
     /// Its address can't be read.
     #[error("unreadable address: {0}; run the same version on all nodes")]
     Address(#[from] AddrParseError),
-    /// Another node is the home now.
-    #[error("another node is the home")]
+    /// Another node is the coordinator now.
+    #[error("another node is the coordinator")]
     Replaced,
 }
 
@@ -70,14 +70,14 @@
     }
 }
 
-/// A node's side of the link to its home.
+/// A node's side of the link to its coordinator.
 pub struct Link {
     own: id::Node,
     admission: admission::Handle,
     clock: Clock,
-    /// The nodes of the data centre as ranked, the home first.
-    homes: watch::Receiver<Vec<Node>>,
-    /// Homes that failed lately, and until when they are skipped.
+    /// The nodes of the data centre as ranked, the coordinator first.
+    ranked_nodes: watch::Receiver<Vec<Node>>,
+    /// Coordinators that failed lately, and until when they are skipped.
     cooling_down: HashMap<id::Node, Instant>,
 }
 
@@ -88,57 +88,59 @@
         own: id::Node,
         admission: admission::Handle,
         clock: Clock,
-        homes: watch::Receiver<Vec<Node>>,
+        ranked_nodes: watch::Receiver<Vec<Node>>,
     ) -> Self {
         Self {
             own,
             admission,
             clock,
-            homes,
+            ranked_nodes,
             cooling_down: HashMap::new(),
         }
     }
 
-    /// Keeps the node linked to its home; needs a local task set.
+    /// Keeps the node linked to its coordinator; needs a local task set.
     pub async fn run(mut self) {
         loop {
             let now = Instant::now();
             self.cooling_down.retain(|_, until| *until > now);
-            let Some(home) = self.home() else {
-                // This node is the home, or the candidates failed lately.
+            let Some(coordinator) = self.coordinator() else {
+                // This node is the coordinator, or the candidates failed
+                // lately.
                 select! {
-                    changed = self.homes.changed() => if changed.is_err() {
+                    changed = self.ranked_nodes.changed() => if changed.is_err() {
                         return;
                     },
-                    () = sleep(FAILED_HOME_COOLDOWN) => {}
+                    () = sleep(FAILED_COORDINATOR_COOLDOWN) => {}
                 }
                 continue;
             };
-            if let Err(failure) = self.delegate_to(&home).await {
-                tracing::info!(home = %home.name, cause = %failure, "this node decides alone");
+            if let Err(failure) = self.delegate_to(&coordinator).await {
+                tracing::info!(home = %coordinator.name, cause = %failure, "this node decides alone");
                 if !matches!(failure, Failure::Replaced) {
-                    let until = Instant::now() + FAILED_HOME_COOLDOWN;
-                    self.cooling_down.insert(home.name, until);
+                    let until = Instant::now() + FAILED_COORDINATOR_COOLDOWN;
+                    self.cooling_down.insert(coordinator.name, until);
                 }
             }
         }
     }
 
-    /// Returns the home, unless it is this node.
-    fn home(&self) -> Option<Node> {
+    /// Returns the coordinator, unless it is this node.
+    fn coordinator(&self) -> Option<Node> {
         let now = Instant::now();
-        let homes = self.homes.borrow();
-        let mut homes = homes.iter().take(MAX_CANDIDATES);
-        let home = homes.find(|node| {
+        let ranked_nodes = self.ranked_nodes.borrow();
+        let mut ranked_nodes = ranked_nodes.iter().take(MAX_CANDIDATES);
+        let coordinator = ranked_nodes.find(|node| {
             let until = self.cooling_down.get(&node.name);
             until.is_none_or(|until| *until <= now)
         })?;
-        (home.name != self.own).then(|| home.clone())
+        (coordinator.name != self.own).then(|| coordinator.clone())
     }
 
-    /// Lets a home decide until it fails or another node is the home.
-    async fn delegate_to(&self, home: &Node) -> Result<(), Failure> {
-        let address: SocketAddr = home.calls.parse()?;
+    /// Lets a coordinator decide until it fails or another node is the
+    /// coordinator.
+    async fn delegate_to(&self, coordinator: &Node) -> Result<(), Failure> {
+        let address: SocketAddr = coordinator.calls.parse()?;
         let timed_out = |_| exchange::Failure::Silent;
         let connecting = timeout(OPEN_TIMEOUT, exchange::connect(address));
         let connection = connecting.await.map_err(timed_out)??;
@@ -147,21 +149,21 @@
         let loads = self.admission.count_locally();
         write_loads(&loads, open.get().init_held(length(loads.len())));
         let opening = timeout(OPEN_TIMEOUT, open.send().promise);
-        let desk = opening.await.map_err(timed_out)??;
-        let desk = desk.get()?.get_desk()?;
-        tracing::info!(home = %home.name, %address, "home decides for this node");
+        let session = opening.await.map_err(timed_out)??;
+        let session = session.get()?.get_desk()?;
+        tracing::info!(home = %coordinator.name, %address, "coordinator decides for this node");
         let (commands, receiver) = mpsc::unbounded_channel();
-        self.admission.set_home(Some(commands));
-        let ended = self.forward_commands(home, &desk, receiver).await;
-        self.admission.set_home(None);
+        self.admission.set_coordinator(Some(commands));
+        let ended = self.forward_commands(coordinator, &session, receiver).await;
+        self.admission.set_coordinator(None);
         ended
     }
 
-    /// Sends commands to the home and checks that it answers.
+    /// Sends commands to the coordinator and checks that it answers.
     async fn forward_commands(
         &self,
-        home: &Node,
-        desk: &desk::Client,
+        coordinator: &Node,
+        session: &desk::Client,
         mut receiver: mpsc::UnboundedReceiver<Command>,
     ) -> Result<(), Failure> {
         let mut calls: JoinSet<Result<(), Error>> = JoinSet::new();
@@ -175,11 +177,11 @@
                     ended?;
                 },
                 command = receiver.recv() => match command {
-                    Some(command) => self.send_command(desk, command, &liveness, &mut calls),
+                    Some(command) => self.send_command(session, command, &liveness, &mut calls),
                     None => return Err(Failure::Replaced),
                 },
                 _ = ticks.tick() => {
-                    if self.home().is_none_or(|best| best.name != home.name) {
+                    if self.coordinator().is_none_or(|best| best.name != coordinator.name) {
                         return Err(Failure::Replaced);
                     }
                     if liveness.ping_timed_out() {
@@ -187,7 +189,7 @@
                     }
                     if liveness.ping_is_due() {
                         liveness.pinged_at.set(Some(Instant::now()));
-                        let answer = desk.ping_request().send().promise;
+                        let answer = session.ping_request().send().promise;
                         let liveness = Rc::clone(&liveness);
                         calls.spawn_local(async move {
                             answer.await?;
@@ -203,14 +205,14 @@
     /// Sends a command; its answer is handled by a task in `calls`.
     fn send_command(
         &self,
-        desk: &desk::Client,
+        session: &desk::Client,
         command: Command,
         liveness: &Rc<Liveness>,
         calls: &mut JoinSet<Result<(), Error>>,
     ) {
         match command {
             Command::Admit(id, request, reply) => {
-                let mut message = desk.admit_request();
+                let mut message = session.admit_request();
                 message.get().set_request(id.0);
                 wire::write_request(&request, self.clock.now(), message.get().init_ask());
                 let answer = message.send().promise;
@@ -228,15 +230,15 @@
                     Ok(())
                 });
             }
-            Command::FirstByte(request) => {
-                let mut message = desk.start_request();
-                message.get().set_request(request.0);
+            Command::FirstByte(id) => {
+                let mut message = session.start_request();
+                message.get().set_request(id.0);
                 let answer = message.send().promise;
                 calls.spawn_local(async move { answer.await.map(|_| ()) });
             }
-            Command::End(request, outcome) => {
-                let mut message = desk.end_request();
-                message.get().set_request(request.0);
+            Command::End(id, outcome) => {
+                let mut message = session.end_request();
+                message.get().set_request(id.0);
                 wire::write_outcome(outcome, message.get());
                 let answer = message.send().promise;
                 calls.spawn_local(async move { answer.await.map(|_| ()) });
@@ -245,9 +247,9 @@
     }
 }
 
-/// Detects a home that does not answer.
+/// Detects a coordinator that does not answer.
 struct Liveness {
-    /// Requests that wait for the decision of the home.
+    /// Requests that wait for the decision of the coordinator.
     waiting: Cell<usize>,
     last_answer: Cell<Instant>,
     /// When the ping was sent that is not answered yet.
--- a/gateway/src/coordinator/session.rs
+++ b/gateway/src/coordinator/session.rs
@@ -1,4 +1,4 @@
-//! The home's side of a link: decides for one other node.
+//! The coordinator's side of a link: decides for one other node.
 
 use std::{cell::RefCell, collections::HashMap, rc::Rc, time::Duration};
 
@@ -10,7 +10,7 @@
 
 use crate::{
     admission::{self, Permit},
-    home::wire,
+    coordinator::wire,
 };
 
 /// Answer to a request that was withdrawn; nobody waits for it.
@@ -19,23 +19,23 @@
     retry_after: Duration::ZERO,
 };
 
-/// A request of the other node.
-enum Request {
+/// The state of a request of the other node.
+enum State {
     /// It waits for an endpoint; dropping the sender withdraws it.
-    Waiting(#[expect(dead_code, reason = "its drop is the message")] oneshot::Sender<()>),
-    /// It has a place at an endpoint.
+    Waiting(#[expect(dead_code, reason = "dropping it withdraws the request")] oneshot::Sender<()>),
+    /// It has a slot at an endpoint.
     Admitted(Permit),
 }
 
 /// Decides for one other node; dropping it withdraws that node's requests.
-pub struct Desk {
+pub struct Session {
     admission: admission::Handle,
     clock: Clock,
-    requests: RefCell<HashMap<u64, Request>>,
+    requests: RefCell<HashMap<u64, State>>,
 }
 
-impl Desk {
-    /// Builds a desk for a node that just connected.
+impl Session {
+    /// Builds a session for a node that just connected.
     #[must_use]
     pub fn new(admission: admission::Handle, clock: Clock) -> Self {
         Self {
@@ -46,33 +46,33 @@
     }
 }
 
-impl desk::Server for Desk {
+impl desk::Server for Session {
     async fn admit(
         self: Rc<Self>,
         params: desk::AdmitParams,
         mut results: desk::AdmitResults,
     ) -> Result<(), Error> {
         let params = params.get()?;
-        let request = params.get_request();
-        let wanted = wire::read_request(params.get_ask()?, self.clock.now())?;
+        let id = params.get_request();
+        let request = wire::read_request(params.get_ask()?, self.clock.now())?;
         let (withdraw, withdrawn) = oneshot::channel();
         self.requests
             .borrow_mut()
-            .insert(request, Request::Waiting(withdraw));
+            .insert(id, State::Waiting(withdraw));
         let decided = select! {
-            decided = self.admission.admit_locally(wanted) => decided,
+            decided = self.admission.admit_locally(request) => decided,
             _ = withdrawn => Err(WITHDRAWN),
         };
         let decision = match decided {
             Ok((choice, permit)) => {
                 let mut requests = self.requests.borrow_mut();
-                if let Some(entry) = requests.get_mut(&request) {
-                    *entry = Request::Admitted(permit);
+                if let Some(entry) = requests.get_mut(&id) {
+                    *entry = State::Admitted(permit);
                 }
                 Ok(choice)
             }
             Err(refusal) => {
-                self.requests.borrow_mut().remove(&request);
+                self.requests.borrow_mut().remove(&id);
                 Err(refusal)
             }
         };
@@ -85,8 +85,8 @@
         params: desk::StartParams,
         _: desk::StartResults,
     ) -> Result<(), Error> {
-        let request = params.get()?.get_request();
-        if let Some(Request::Admitted(permit)) = self.requests.borrow().get(&request) {
+        let id = params.get()?.get_request();
+        if let Some(State::Admitted(permit)) = self.requests.borrow().get(&id) {
             permit.record_first_byte();
         }
         Ok(())
@@ -100,7 +100,7 @@
         let params = params.get()?;
         let outcome = wire::read_outcome(params)?;
         let entry = self.requests.borrow_mut().remove(&params.get_request());
-        if let Some(Request::Admitted(permit)) = entry {
+        if let Some(State::Admitted(permit)) = entry {
             permit.end(outcome);
         }
         Ok(())
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -1,5 +1,5 @@
 //! Calls between nodes over Cap'n Proto RPC: for the whole directory while the
-//! key-value service is unavailable, and for decisions of the home node.
+//! key-value service is unavailable, and for decisions of the coordinator.
 
 use std::{io, net::SocketAddr, rc::Rc, sync::Arc, time::Duration};
 
@@ -20,7 +20,9 @@
     time::{sleep, timeout},
 };
 
-use crate::{admission, beat::read_loads, directory::Snapshot, home::Desk, node::UPSTREAM_LIMITS};
+use crate::{
+    admission, beat::read_loads, coordinator::Session, directory::Snapshot, node::UPSTREAM_LIMITS,
+};
 
 /// Time for another node to return its directory.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
@@ -49,11 +51,12 @@
 pub struct Offer {
     /// The directory as this node knows it.
     pub snapshot: watch::Receiver<Arc<Snapshot>>,
-    /// Decides for the nodes whose home this node is.
+    /// Decides for the nodes whose coordinator this node is.
     pub admission: admission::Handle,
     /// The clock of the node.
     pub clock: Clock,
-    /// Phase of the shutdown; a node that announced it refuses to be a home.
+    /// Phase of the shutdown; a node that announced it refuses to be a
+    /// coordinator.
     pub phase: Phase,
 }
 
@@ -72,9 +75,9 @@
         self.admission.apply(|dispatcher, now| {
             dispatcher.record_peer_load(now, &node, loads.into_iter().collect())
         });
-        tracing::info!(%node, "this node decides as home of another node");
-        let desk = Desk::new(self.admission.clone(), self.clock);
-        results.get().set_desk(capnp_rpc::new_client(desk));
+        tracing::info!(%node, "this node coordinates another node");
+        let session = Session::new(self.admission.clone(), self.clock);
+        results.get().set_desk(capnp_rpc::new_client(session));
         Ok(())
     }
 
@@ -106,7 +109,7 @@
             }
         };
         // Keepalive probes end the connection of a node that is gone, which
-        // gives its places at endpoints back.
+        // releases its slots at endpoints.
         if let Err(error) = pool::watch(&stream, &UPSTREAM_LIMITS) {
             tracing::debug!(%error, "connection of a node closed during setup");
             continue;
--- a/gateway/src/node.rs
+++ b/gateway/src/node.rs
@@ -1,4 +1,4 @@
-//! Builds a gateway from its components and runs it until it is told to stop.
+//! Builds a gateway from its components and runs it until shutdown.
 
 use std::{
     future::Future,
@@ -41,10 +41,10 @@
     admission,
     chain::{Chain, lock},
     controller::{self, Controller, Outputs, PollInterval, Registration},
+    coordinator::Link,
     dialect::Dialect,
     directory::{self, Snapshot, Source},
     exchange::{self, Offer},
-    home::Link,
     logging::Log,
     metrics::Metrics,
     peers::{self, Peers},
@@ -137,7 +137,7 @@
 struct Channels {
     plan: watch::Sender<Option<Arc<Plan>>>,
     nodes: watch::Sender<Vec<directory::Node>>,
-    homes: watch::Sender<Vec<directory::Node>>,
+    ranked_nodes: watch::Sender<Vec<directory::Node>>,
     endpoints_known: watch::Sender<bool>,
     snapshot: watch::Sender<Arc<Snapshot>>,
 }
@@ -147,14 +147,14 @@
         Self {
             plan: watch::Sender::new(None),
             nodes: watch::Sender::new(Vec::new()),
-            homes: watch::Sender::new(Vec::new()),
+            ranked_nodes: watch::Sender::new(Vec::new()),
             endpoints_known: watch::Sender::new(false),
             snapshot: watch::Sender::new(Arc::new(Snapshot::default())),
         }
     }
 }
 
-/// Runs a gateway until it is told to stop; must run in a local task set.
+/// Runs a gateway until shutdown; must run in a local task set.
 ///
 /// # Errors
 ///
@@ -203,7 +203,7 @@
         own.name.clone(),
         chain.admission.clone(),
         chain.clock,
-        channels.homes.subscribe(),
+        channels.ranked_nodes.subscribe(),
     );
     spawn_local(link.run());
     spawn_local(fetch_from_seeds(
@@ -350,7 +350,7 @@
         own,
         socket: Arc::clone(&socket),
         chain: Arc::clone(chain),
-        homes: channels.homes.clone(),
+        ranked_nodes: channels.ranked_nodes.clone(),
     };
     let (peers, _running) = Actor::spawn(None, Peers::default(), arguments)
         .await
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -18,9 +18,9 @@
 use crate::{
     beat::Beat,
     chain::{Chain, lock, millis},
+    coordinator,
     dialect::Dialect,
     directory::Node,
-    home,
 };
 
 /// Interval at which due heartbeats and silent nodes are looked for.
@@ -30,9 +30,9 @@
 /// to one of another data centre, where traffic costs more.
 const MIN_INTERVAL: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(200));
 
-/// Time between two heartbeats from one home to another: each carries what its
-/// data centre has at the endpoints that they share.
-const HOME_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between two heartbeats from one coordinator to another: each carries
+/// what its data centre has at the endpoints that they share.
+const COORDINATOR_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Most heartbeats a second that a node sends to its own data centre, and to
 /// all others together; in a larger fleet the interval to each node grows.
@@ -87,8 +87,8 @@
     pub socket: Arc<UdpSocket>,
     /// State that heartbeats report, and that received ones update.
     pub chain: Arc<Chain<D>>,
-    /// Receives the nodes of the data centre, the home first.
-    pub homes: watch::Sender<Vec<Node>>,
+    /// Receives the nodes of the data centre, the coordinator first.
+    pub ranked_nodes: watch::Sender<Vec<Node>>,
 }
 
 /// State of the actor.
@@ -98,8 +98,8 @@
     sequence: u64,
     peers: BTreeMap<id::Node, Peer>,
     registered: BTreeMap<id::Node, Node>,
-    /// The home of each data centre.
-    homes: BTreeSet<id::Node>,
+    /// The coordinator of each data centre.
+    coordinators: BTreeSet<id::Node>,
 }
 
 impl<D: Dialect> Actor for Peers<D> {
@@ -119,7 +119,7 @@
             sequence: 0,
             peers: BTreeMap::new(),
             registered: BTreeMap::new(),
-            homes: BTreeSet::new(),
+            coordinators: BTreeSet::new(),
         })
     }
 
@@ -186,11 +186,11 @@
             dispatcher.set_peers(&names);
             Vec::new()
         });
-        self.elect_homes();
+        self.elect_coordinators();
     }
 
-    /// Determines the home of each data centre among the live nodes.
-    fn elect_homes(&mut self) {
+    /// Determines the coordinator of each data centre among the live nodes.
+    fn elect_coordinators(&mut self) {
         let own = &self.arguments.own;
         let mut live = vec![own];
         for (name, node) in &self.registered {
@@ -201,21 +201,21 @@
         }
         let data_centres: BTreeSet<&id::DataCentre> =
             live.iter().map(|node| &node.data_centre).collect();
-        let mut homes = BTreeSet::new();
+        let mut coordinators = BTreeSet::new();
         for data_centre in &data_centres {
-            let ranked = home::rank(data_centre, live.iter().copied());
-            homes.extend(ranked.first().map(|node| node.name.clone()));
+            let ranked = coordinator::rank(data_centre, live.iter().copied());
+            coordinators.extend(ranked.first().map(|node| node.name.clone()));
             if **data_centre == own.data_centre {
-                self.arguments.homes.send_if_modified(|known| {
+                self.arguments.ranked_nodes.send_if_modified(|known| {
                     let changed = *known != ranked;
                     *known = ranked;
                     changed
                 });
             }
         }
-        // A home shares the endpoints only with the homes of other data centres,
-        // any other node with every node.
-        let sharers = if homes.contains(&own.name) {
+        // A coordinator shares the endpoints only with the coordinators of
+        // other data centres, any other node with every node.
+        let sharers = if coordinators.contains(&own.name) {
             data_centres.len()
         } else {
             self.peers.len() + 1
@@ -224,7 +224,7 @@
             dispatcher.set_node_count(sharers);
             Vec::new()
         });
-        self.homes = homes;
+        self.coordinators = coordinators;
     }
 
     fn receive(&mut self, beat: &Beat, from: SocketAddr) {
@@ -264,7 +264,7 @@
         if !known {
             self.update_members();
         } else if returned {
-            self.elect_homes();
+            self.elect_coordinators();
         }
         let chain = &self.arguments.chain;
         lock(&chain.limiter).record_peer_usage(
@@ -291,13 +291,13 @@
         );
         self.detect_silence(now, intervals);
         let mut due = Vec::new();
-        let is_home = self.homes.contains(&self.arguments.own.name);
+        let is_coordinator = self.coordinators.contains(&self.arguments.own.name);
         for (name, peer) in &mut self.peers {
             if peer.due > now {
                 continue;
             }
-            let interval = if is_home && self.homes.contains(name) {
-                HOME_INTERVAL
+            let interval = if is_coordinator && self.coordinators.contains(name) {
+                COORDINATOR_INTERVAL
             } else if peer.local {
                 intervals.0
             } else {
@@ -377,7 +377,7 @@
         }
         self.arguments.chain.metrics.peers.set(live);
         if changed {
-            self.elect_homes();
+            self.elect_coordinators();
         }
     }
 }
--- a/gateway/tests/test_coordinator.rs
+++ b/gateway/tests/test_coordinator.rs
@@ -1,4 +1,4 @@
-//! Decisions that a home makes for another node.
+//! Decisions that a coordinator makes for another node.
 
 mod common;
 
@@ -16,9 +16,9 @@
 use dottereltally::{clock::Clock, shutdown::Phase};
 use dottereltally_gateway::{
     admission::Handle,
+    coordinator::{self, Link},
     directory::{Node, Snapshot},
     exchange::{self, Offer},
-    home::{self, Link},
 };
 use dottereltally_lib::{
     dispatcher::{Dispatcher, Load, Outcome, Request, Settings, Timing},
@@ -81,13 +81,14 @@
 /// Links a node to the first of `nodes`; the link ends when the sender is
 /// dropped.
 fn link(name: &str, own: &Handle, clock: Clock, nodes: Vec<Node>) -> watch::Sender<Vec<Node>> {
-    let homes = watch::Sender::new(nodes);
+    let ranked_nodes = watch::Sender::new(nodes);
     let name = id::Node::from(name);
-    spawn_local(Link::new(name, own.clone(), clock, homes.subscribe()).run());
-    homes
+    spawn_local(Link::new(name, own.clone(), clock, ranked_nodes.subscribe()).run());
+    ranked_nodes
 }
 
-/// Forwards bytes between a node and its home, one connection after another.
+/// Forwards bytes between a node and its coordinator, one connection after
+/// another.
 struct Proxy {
     address: String,
     stalled: watch::Sender<bool>,
@@ -122,16 +123,16 @@
     }
 }
 
-/// A node and its home.
+/// A node and its coordinator.
 struct Pair {
     clock: Clock,
     node: Handle,
-    home: Handle,
+    coordinator: Handle,
     phase: Phase,
-    /// The home itself.
+    /// The coordinator itself.
     address: SocketAddr,
     proxy: Proxy,
-    _homes: watch::Sender<Vec<Node>>,
+    _ranked_nodes: watch::Sender<Vec<Node>>,
 }
 
 impl Pair {
@@ -140,7 +141,7 @@
         let address = listener.local_addr().unwrap();
         let proxy = Proxy::start(address).await;
         let clock = Clock::start();
-        let (node_handle, home) = (handle(clock), handle(clock));
+        let (node_handle, coordinator) = (handle(clock), handle(clock));
         let snapshot = Snapshot {
             plan: Some(plan()),
             ..Snapshot::default()
@@ -148,31 +149,31 @@
         let phase = Phase::default();
         let offer = Offer {
             snapshot: watch::Sender::new(Arc::new(snapshot)).subscribe(),
-            admission: home.clone(),
+            admission: coordinator.clone(),
             clock,
             phase: phase.clone(),
         };
         spawn_local(exchange::serve(listener, offer));
-        let homes = link(
+        let ranked_nodes = link(
             "node",
             &node_handle,
             clock,
-            vec![node("home", 1, &proxy.address)],
+            vec![node("coordinator", 1, &proxy.address)],
         );
         Self {
             clock,
             node: node_handle,
-            home,
+            coordinator,
             phase,
             address,
             proxy,
-            _homes: homes,
+            _ranked_nodes: ranked_nodes,
         }
     }
 
     async fn linked() -> Self {
         let pair = Self::start().await;
-        wait_until(|| pair.node.has_home()).await;
+        wait_until(|| pair.node.has_coordinator()).await;
         pair
     }
 }
@@ -191,7 +192,7 @@
 }
 
 #[test]
-fn the_largest_host_is_the_home_and_all_nodes_agree() {
+fn the_largest_host_is_the_coordinator_and_all_nodes_agree() {
     let mut nodes = vec![
         node("a", 120, "x"),
         node("b", 500, "x"),
@@ -199,31 +200,34 @@
     ];
     nodes.push(node("no-calls", 900, ""));
     let centre = id::DataCentre::from("dc");
-    let ranked = home::rank(&centre, &nodes);
+    let ranked = coordinator::rank(&centre, &nodes);
     assert_eq!(ranked.len(), 3);
     assert_eq!(ranked[2].name.as_str(), "a");
     nodes.reverse();
-    assert_eq!(home::rank(&centre, &nodes), ranked);
-    assert!(home::rank(&id::DataCentre::from("other"), &nodes).is_empty());
+    assert_eq!(coordinator::rank(&centre, &nodes), ranked);
+    assert!(coordinator::rank(&id::DataCentre::from("other"), &nodes).is_empty());
 }
 
 #[tokio::test]
-async fn a_home_decides_and_counts_the_request() {
+async fn a_coordinator_decides_and_counts_the_request() {
     let test = async {
         let pair = Pair::linked().await;
         let (choice, permit) = pair.node.admit(request(pair.clock)).await.unwrap();
         assert_eq!(choice.endpoint.as_str(), "e");
         assert!(permit.is_delegated());
-        assert_eq!((in_flight(&pair.node), in_flight(&pair.home)), (0, 1));
+        assert_eq!(
+            (in_flight(&pair.node), in_flight(&pair.coordinator)),
+            (0, 1)
+        );
         permit.record_first_byte();
         permit.end(Outcome::Answered(Timing::default()));
-        wait_until(|| in_flight(&pair.home) == 0).await;
+        wait_until(|| in_flight(&pair.coordinator) == 0).await;
     };
     LocalSet::new().run_until(test).await;
 }
 
 #[tokio::test]
-async fn a_request_withdrawn_at_the_home_uses_no_place() {
+async fn a_request_withdrawn_at_the_coordinator_uses_no_slot() {
     let test = async {
         let pair = Pair::linked().await;
         let mut permits = Vec::new();
@@ -234,22 +238,23 @@
             let (handle, request) = (pair.node.clone(), request(pair.clock));
             async move { handle.admit(request).await.map(|_| ()) }
         });
-        wait_until(|| pair.home.read(Dispatcher::waiting) > 0).await;
+        wait_until(|| pair.coordinator.read(Dispatcher::waiting) > 0).await;
         waiting.abort();
-        wait_until(|| pair.home.read(Dispatcher::waiting) == 0).await;
+        wait_until(|| pair.coordinator.read(Dispatcher::waiting) == 0).await;
         drop(permits);
-        wait_until(|| pair.home.read(Dispatcher::running) == 0).await;
+        wait_until(|| pair.coordinator.read(Dispatcher::running) == 0).await;
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// If a home closes the connection or stops answering, the node decides on the
-/// requests that wait there, and counts its requests itself from then on.
+/// If a coordinator closes the connection or stops answering, the node decides
+/// on the requests that wait there, and counts its requests itself from then
+/// on.
 #[rstest]
 #[case::ended(false)]
 #[case::silent(true)]
 #[tokio::test]
-async fn a_node_decides_alone_when_its_home_is_gone(#[case] silent: bool) {
+async fn a_node_decides_alone_when_its_coordinator_is_gone(#[case] silent: bool) {
     let test = async {
         let pair = Pair::linked().await;
         let mut permits = Vec::new();
@@ -265,7 +270,7 @@
                     .map(|(_, permit)| permit.is_delegated())
             }
         });
-        wait_until(|| pair.home.read(Dispatcher::waiting) > 0).await;
+        wait_until(|| pair.coordinator.read(Dispatcher::waiting) > 0).await;
         if silent {
             pair.proxy.stalled.send_replace(true);
         } else {
@@ -283,7 +288,7 @@
 #[case::silent(true)]
 #[case::closing(false)]
 #[tokio::test]
-async fn a_home_that_does_not_answer_is_skipped(#[case] silent: bool) {
+async fn a_coordinator_that_does_not_answer_is_skipped(#[case] silent: bool) {
     let test = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap().to_string();
@@ -298,7 +303,7 @@
         });
         let clock = Clock::start();
         let own = handle(clock);
-        let _homes = link("node", &own, clock, vec![node("home", 1, &address)]);
+        let _ranked_nodes = link("node", &own, clock, vec![node("coordinator", 1, &address)]);
         // The second try comes after the first one has failed.
         wait_until(|| tries.get() >= 2).await;
         let (_, permit) = own.admit(request(clock)).await.unwrap();
@@ -308,17 +313,17 @@
 }
 
 #[tokio::test]
-async fn a_home_that_shuts_down_takes_no_new_node() {
+async fn a_coordinator_that_shuts_down_takes_no_new_node() {
     let test = async {
         let pair = Pair::linked().await;
         pair.phase.announce();
         let other = handle(pair.clock);
         let proxy = Proxy::start(pair.address).await;
-        let _homes = link(
+        let _ranked_nodes = link(
             "other",
             &other,
             pair.clock,
-            vec![node("home", 1, &proxy.address)],
+            vec![node("coordinator", 1, &proxy.address)],
         );
         // The second try comes after the first one was refused.
         wait_until(|| proxy.accepted.get() >= 2).await;
@@ -329,7 +334,7 @@
 }
 
 /// All nodes of a data centre start at once and none is ready: a node must not
-/// try every other one as its home.
+/// try every other one as its coordinator.
 #[tokio::test]
 async fn few_nodes_are_tried_while_none_is_ready() {
     let test = async {
@@ -348,11 +353,11 @@
         }
         let clock = Clock::start();
         let own = handle(clock);
-        let homes = link("node", &own, clock, nodes);
+        let ranked_nodes = link("node", &own, clock, nodes);
         wait_until(|| tried.borrow().len() >= 3).await;
         // Wakes the link, which skips the first ones by now.
         for _ in 0..20 {
-            homes.send_modify(|_| {});
+            ranked_nodes.send_modify(|_| {});
             sleep(Duration::from_millis(1)).await;
         }
         assert_eq!(tried.borrow().len(), 3);
