--- a/lib/src/event.rs
+++ b/lib/src/event.rs
@@ -67,8 +67,8 @@
 /// A message of the admission protocol between two nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// Waiting work by service and tier, sent to the home node of a service's
-    /// endpoints.
+    /// Waiting work by service and tier, sent to the node that grants tokens on a
+    /// service's endpoints.
     Demand(Vec<Demand>),
     /// Grants of tokens on endpoints.
     Granted(Vec<Grant>),
--- a/lib/tests/engines/mod.rs
+++ b/lib/tests/engines/mod.rs
@@ -58,7 +58,7 @@
     pub replies: HashMap<id::Request, Reply>,
     pub sent: Vec<(id::Request, Choice)>,
     /// The dispatcher that decides for all dispatchers, if there is one.
-    home: Option<usize>,
+    coordinator: Option<usize>,
     jobs: HashMap<id::Request, Job>,
     events: BTreeMap<(time::Instant, u64), Event>,
     next_id: u64,
@@ -117,7 +117,7 @@
             dispatchers: Vec::new(),
             replies: HashMap::new(),
             sent: Vec::new(),
-            home: None,
+            coordinator: None,
             jobs: HashMap::new(),
             events: BTreeMap::new(),
             next_id: 0,
@@ -139,9 +139,10 @@
         simulation
     }
 
-    /// Makes the first dispatcher the home, which decides for all dispatchers.
-    pub fn with_home(mut self) -> Self {
-        self.home = Some(0);
+    /// Makes the first dispatcher the coordinator, which decides for all
+    /// dispatchers.
+    pub fn with_coordinator(mut self) -> Self {
+        self.coordinator = Some(0);
         self.dispatchers[0].set_node_count(1);
         self
     }
@@ -161,7 +162,8 @@
         records
     }
 
-    /// Submits a request to a dispatcher, or to the home if there is one.
+    /// Submits a request to a dispatcher, or to the coordinator if there is
+    /// one.
     pub fn arrive(&mut self, dispatcher: usize, request: Request) -> id::Request {
         self.next_id += 1;
         let id = id::Request(self.next_id);
@@ -172,7 +174,7 @@
             engine: None,
         };
         self.jobs.insert(id, job);
-        let dispatcher = self.home.unwrap_or(dispatcher);
+        let dispatcher = self.coordinator.unwrap_or(dispatcher);
         let effects = self.dispatchers[dispatcher].submit(self.now, id, request);
         self.apply(dispatcher, effects);
         id
@@ -302,8 +304,8 @@
                 let job = &self.jobs[id];
                 let took = self.now.since(job.arrived);
                 self.dispatchers[job.dispatcher].record_first_byte(self.now, *id);
-                if let Some(home) = self.home {
-                    self.dispatchers[home].record_first_byte(self.now, *id);
+                if let Some(coordinator) = self.coordinator {
+                    self.dispatchers[coordinator].record_first_byte(self.now, *id);
                 }
                 self.replies.insert(*id, Reply::First(took));
             }
@@ -319,9 +321,9 @@
                 let outcome = Outcome::Answered(timing);
                 let effects = self.dispatchers[job.dispatcher].finish(self.now, *id, outcome);
                 self.apply(job.dispatcher, effects);
-                if let Some(home) = self.home {
-                    let effects = self.dispatchers[home].finish(self.now, *id, outcome);
-                    self.apply(home, effects);
+                if let Some(coordinator) = self.coordinator {
+                    let effects = self.dispatchers[coordinator].finish(self.now, *id, outcome);
+                    self.apply(coordinator, effects);
                 }
             }
         }
--- a/lib/tests/test_dispatcher.rs
+++ b/lib/tests/test_dispatcher.rs
@@ -251,7 +251,8 @@
     simulation.on_time(&urgent, OBJECTIVE)
 }
 
-/// Each dispatcher decides for itself, as it does while there is no home.
+/// Each dispatcher decides for itself, as it does while there is no
+/// coordinator.
 #[test]
 #[ignore = "known red: urgent work is not ordered across nodes without a home"]
 fn urgent_work_of_one_gate_stays_on_time_in_a_burst() {
@@ -260,17 +261,18 @@
 }
 
 #[test]
-fn a_home_keeps_urgent_work_of_one_gate_on_time_in_a_burst() {
-    let simulation = Simulation::new(3, &MIXED_SPEEDS, 10).with_home();
+fn a_coordinator_keeps_urgent_work_of_one_node_on_time_in_a_burst() {
+    let simulation = Simulation::new(3, &MIXED_SPEEDS, 10).with_coordinator();
     let on_time = burst_with_urgent_work_at_one_dispatcher(simulation);
     assert!(on_time > 0.9, "urgent work on time: {on_time}");
 }
 
 /// Many nodes, which rarely see each other's load, send to engines of low
-/// capacity. With a home, no engine gets more requests than it runs at once.
+/// capacity. With a coordinator, no engine gets more requests than it runs at
+/// once.
 #[test]
-fn a_home_overfills_no_engine() {
-    let mut simulation = Simulation::new(30, &[1.0; 6], 4).with_home();
+fn a_coordinator_overfills_no_engine() {
+    let mut simulation = Simulation::new(30, &[1.0; 6], 4).with_coordinator();
     submit(&mut simulation, (0, 6000, 20), (0, 600, 300));
     let taken = simulation.sent.iter();
     let most = taken
@@ -279,16 +281,16 @@
     assert!(most <= Some(4), "{most:?} at an engine that runs four");
 }
 
-/// The home reports the requests that it placed; once it is gone, their own
-/// node does.
+/// The coordinator reports the requests that it placed; once it is gone, their
+/// own node does.
 #[test]
-fn a_node_counts_its_requests_itself_once_the_home_is_gone() {
-    let mut simulation = Simulation::new(2, &[1.0], 10).with_home();
+fn a_node_counts_its_requests_itself_once_the_coordinator_is_gone() {
+    let mut simulation = Simulation::new(2, &[1.0], 10).with_coordinator();
     simulation.arrive(1, request(simulation.now, 0, 600, 60, OBJECTIVE));
     let engine = simulation.engines[0].name.clone();
     assert!(
         simulation.dispatchers[1].take_load().is_empty(),
-        "reported by home and node"
+        "reported by coordinator and node"
     );
     let counted = simulation.dispatchers[1].count_locally();
     assert_eq!(counted.len(), 1);
@@ -301,9 +303,9 @@
     );
 }
 
-/// The home may not know yet that an endpoint is leaving.
+/// The coordinator may not know yet that an endpoint is leaving.
 #[test]
-fn a_choice_that_leaves_is_not_adopted() {
+fn a_choice_of_a_leaving_endpoint_is_not_adopted() {
     let mut simulation = Simulation::new(1, &[1.0], 10);
     let now = simulation.now;
     let engine = simulation.engines[0].name.clone();
@@ -333,9 +335,10 @@
     assert_eq!(most, Some(expected));
 }
 
-/// The connection to the home was lost between its decision and the send.
+/// The connection to the coordinator was lost between its decision and the
+/// send.
 #[test]
-fn a_choice_of_a_home_that_is_gone_is_counted_by_the_node() {
+fn a_choice_of_a_coordinator_that_is_gone_is_counted_by_the_node() {
     let mut simulation = Simulation::new(1, &[1.0], 10);
     let now = simulation.now;
     let engine = simulation.engines[0].name.clone();
