--- a/node/tests/wild/mod.rs
+++ b/node/tests/faulty/mod.rs
@@ -1,4 +1,4 @@
-//! Endpoints that fail at random and keep a ledger of what they were handed.
+//! Endpoints that fail at random and record the requests that they receive.
 
 use std::{
     collections::BTreeMap,
@@ -18,146 +18,160 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use tokio::time::{Sleep, sleep};
 
-/// Correlation value of a request that was never sent.
-const OTHER: &str = "entry-1-other";
-/// Longest pause between two frames, milliseconds.
+/// Correlation value that belongs to no request of the test.
+const FOREIGN_CORRELATION: &str = "entry-1-other";
+/// Limit of the pause between two frames, in milliseconds.
 const MAX_PAUSE_MS: u64 = 150;
-/// Most events of a stream.
-const MAX_EVENTS: u64 = 30;
+/// Largest number of events of a stream, without its usage and end events.
+const MAX_STREAM_EVENTS: u64 = 30;
 
-/// A request that an endpoint was handed.
+/// A request that reached an endpoint.
 #[derive(Clone, Debug)]
-pub struct Handed {
-    /// Position among all that happened.
+pub struct Delivery {
+    /// Position in the order of the history.
     pub order: u64,
     /// The caller's idempotency key, if any.
     pub key: Option<String>,
 }
 
-/// What happened, in order.
+/// Record of the requests that reached endpoints, in order.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct History {
     order: u64,
-    /// Requests that were handed over, by correlation value.
-    pub handed: BTreeMap<String, Vec<Handed>>,
-    /// How often each kind of fate was met.
-    pub fates: BTreeMap<&'static str, u64>,
+    /// Requests that reached an endpoint, by correlation value.
+    pub deliveries: BTreeMap<String, Vec<Delivery>>,
+    /// How often each behaviour was drawn.
+    pub behaviours: BTreeMap<&'static str, u64>,
 }
 
-impl Ledger {
-    /// Returns the position of something that happens now.
+impl History {
+    /// Returns the next position in the order.
     pub fn tick(&mut self) -> u64 {
         self.order += 1;
         self.order
     }
 }
 
-/// The endpoints; clones share them.
+/// All endpoints of a test; clones share their state.
 #[derive(Clone)]
 pub struct Endpoints {
     rng: Arc<Mutex<SmallRng>>,
-    /// What they were handed.
-    pub ledger: Arc<Mutex<Ledger>>,
+    /// The requests that they received.
+    pub history: Arc<Mutex<History>>,
 }
 
-/// What becomes of a request.
+/// How an endpoint treats a request.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum Behaviour {
+    /// The connection is refused, so that nothing is handed over.
     Unsent,
+    /// The connection breaks before the head of the answer.
     Broken,
+    /// No answer comes.
     Silent,
+    /// The answer carries the correlation value of another request.
     Crossed,
+    /// The connection breaks in place of the last frame.
     Cut,
+    /// The last frame never comes.
     Stalled,
+    /// The answer is complete.
     Whole,
 }
 
 impl Endpoints {
-    /// Builds endpoints that draw their faults from this seed.
+    /// Builds endpoints whose faults are drawn with this seed.
     pub fn new(seed: u64) -> Self {
         Self {
             rng: Arc::new(Mutex::new(SmallRng::seed_from_u64(seed))),
-            ledger: Arc::default(),
+            history: Arc::default(),
         }
     }
 
-    fn fate(&self) -> (Fate, u64, u64) {
+    /// Draws the behaviour towards a request, the number of events of the answer
+    /// and a seed for its delays.
+    fn draw(&self) -> (Behaviour, u64, u64) {
         let mut rng = self.rng.lock().expect("unpoisoned");
-        let fate = match rng.random_range(0..100) {
-            0..8 => Fate::Unsent,
-            8..12 => Fate::Broken,
-            12..14 => Fate::Silent,
-            14..17 => Fate::Crossed,
-            17..22 => Fate::Cut,
-            22..24 => Fate::Stalled,
-            _ => Fate::Whole,
+        let behaviour = match rng.random_range(0..100) {
+            0..8 => Behaviour::Unsent,
+            8..12 => Behaviour::Broken,
+            12..14 => Behaviour::Silent,
+            14..17 => Behaviour::Crossed,
+            17..22 => Behaviour::Cut,
+            22..24 => Behaviour::Stalled,
+            _ => Behaviour::Whole,
         };
-        (fate, rng.random_range(1..=MAX_EVENTS), rng.random())
+        (
+            behaviour,
+            rng.random_range(1..=MAX_STREAM_EVENTS),
+            rng.random(),
+        )
     }
 
-    fn record(&self, fate: Fate, message: &Message, correlation: &str) {
-        let mut ledger = self.ledger.lock().expect("unpoisoned");
-        let name = match fate {
-            Fate::Unsent => "unsent",
-            Fate::Broken => "broken",
-            Fate::Silent => "silent",
-            Fate::Crossed => "crossed",
-            Fate::Cut => "cut",
-            Fate::Stalled => "stalled",
-            Fate::Whole => "whole",
+    /// Records the behaviour and, unless nothing was sent, the delivered request.
+    fn record(&self, behaviour: Behaviour, message: &Message, correlation: &str) {
+        let mut history = self.history.lock().expect("unpoisoned");
+        let name = match behaviour {
+            Behaviour::Unsent => "unsent",
+            Behaviour::Broken => "broken",
+            Behaviour::Silent => "silent",
+            Behaviour::Crossed => "crossed",
+            Behaviour::Cut => "cut",
+            Behaviour::Stalled => "stalled",
+            Behaviour::Whole => "whole",
         };
-        *ledger.fates.entry(name).or_default() += 1;
-        if let Fate::Unsent = fate {
+        *history.behaviours.entry(name).or_default() += 1;
+        if let Behaviour::Unsent = behaviour {
             return;
         }
-        let order = ledger.tick();
+        let order = history.tick();
         let key = message.headers().get("idempotency-key");
         let key = key.map(|key| key.to_str().expect("text").to_owned());
-        ledger
-            .handed
+        history
+            .deliveries
             .entry(correlation.to_owned())
             .or_default()
-            .push(Handed { order, key });
+            .push(Delivery { order, key });
     }
 }
 
 impl Client for Endpoints {
-    type Body = WildBody;
+    type Body = Body;
 
     async fn send(
         &self,
         _address: &str,
         message: Message,
         _reuse: Reuse,
-    ) -> Result<Response<WildBody>, Failure> {
-        let (fate, events, seed) = self.fate();
+    ) -> Result<Response<Body>, Failure> {
+        let (behaviour, events, seed) = self.draw();
         let echo = message.headers()[CORRELATION].clone();
         let correlation = echo.to_str().expect("text").to_owned();
-        self.record(fate, &message, &correlation);
+        self.record(behaviour, &message, &correlation);
         sleep(Duration::from_millis(seed % 20)).await;
-        match fate {
-            Fate::Unsent => {
+        match behaviour {
+            Behaviour::Unsent => {
                 return Err(Failure::Unsent {
                     message: Box::new(message),
                     cause: "refused".to_owned(),
                 });
             }
-            Fate::Broken => {
+            Behaviour::Broken => {
                 return Err(Failure::Broken(Broken {
                     cause: "reset".to_owned(),
                 }));
             }
-            Fate::Silent => return std::future::pending().await,
+            Behaviour::Silent => return std::future::pending().await,
             _ => {}
         }
         let streamed = message.uri().path().starts_with("/v1/");
-        let origin = match fate {
-            Fate::Crossed => OTHER,
+        let body_correlation = match behaviour {
+            Behaviour::Crossed => FOREIGN_CORRELATION,
             _ => &correlation,
         };
-        let body = WildBody {
-            fate,
-            frames: frames(origin, streamed, events),
+        let body = Body {
+            behaviour,
+            frames: frames(body_correlation, streamed, events),
             next: 0,
             rng: SmallRng::seed_from_u64(seed),
             pause: None,
@@ -170,8 +184,8 @@
         };
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static(kind));
-        let echo = match fate {
-            Fate::Crossed => HeaderValue::from_static(OTHER),
+        let echo = match behaviour {
+            Behaviour::Crossed => HeaderValue::from_static(FOREIGN_CORRELATION),
             _ => echo,
         };
         headers.insert(CORRELATION, echo);
@@ -179,6 +193,7 @@
     }
 }
 
+/// Returns the frames of an answer that carries this correlation value.
 fn frames(correlation: &str, streamed: bool, events: u64) -> Vec<String> {
     if !streamed {
         let middle = format!("\"id\": \"{correlation}\"");
@@ -197,16 +212,16 @@
     frames
 }
 
-/// Body of an answer that comes with pauses.
-pub struct WildBody {
-    fate: Fate,
+/// Body of an answer, with random pauses between its frames.
+pub struct Body {
+    behaviour: Behaviour,
     frames: Vec<String>,
     next: usize,
     rng: SmallRng,
     pause: Option<Pin<Box<Sleep>>>,
 }
 
-impl http_body::Body for WildBody {
+impl http_body::Body for Body {
     type Data = Bytes;
     type Error = Broken;
 
@@ -217,16 +232,16 @@
         if let Some(pause) = &mut self.pause {
             ready!(pause.as_mut().poll(context));
         }
-        let span = Duration::from_millis(self.rng.random_range(0..MAX_PAUSE_MS));
-        self.pause = Some(Box::pin(sleep(span)));
+        let duration = Duration::from_millis(self.rng.random_range(0..MAX_PAUSE_MS));
+        self.pause = Some(Box::pin(sleep(duration)));
         let last = self.next + 1 == self.frames.len();
-        match self.fate {
-            Fate::Cut if last => {
+        match self.behaviour {
+            Behaviour::Cut if last => {
                 return Poll::Ready(Some(Err(Broken {
                     cause: "reset".to_owned(),
                 })));
             }
-            Fate::Stalled if last => return Poll::Pending,
+            Behaviour::Stalled if last => return Poll::Pending,
             _ => {}
         }
         let Some(frame) = self.frames.get(self.next) else {
--- a/node/tests/test_path_random.rs
+++ b/node/tests/test_path_random.rs
@@ -1,10 +1,12 @@
-//! Random runs of the whole path over the real core and the real claims.
+//! Randomised tests of the request path with the real decision core and the
+//! real claims.
 //!
 //! Endpoints, the key-value service and callers fail at random, on paused
-//! time. The endpoints' ledger judges what the callers were told.
+//! time. What the callers were told is checked against the requests that the
+//! endpoints recorded.
 
 mod chain;
-mod wild;
+mod faulty;
 
 use std::{
     collections::BTreeMap,
@@ -34,25 +36,25 @@
     text::Kind,
 };
 use dottereltally_store::memory::{Fault, Store};
+use faulty::{Endpoints, History};
 use http_body_util::Full;
 use prometheus_client::{encoding::text::encode, registry::Registry};
 use ractor::Actor;
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use rstest::rstest;
 use tokio::time::{sleep, timeout};
-use wild::{Endpoints, Ledger};
 
-/// Callers of one run.
-const CALLERS: usize = 200;
-/// Time over which the callers come, milliseconds.
-const SPREAD_MS: u64 = 4_000;
-/// Idempotency keys that the payments share.
-const KEYS: usize = 16;
+/// Number of callers in one run.
+const CALLER_COUNT: usize = 200;
+/// Time span over which the callers arrive, in milliseconds.
+const ARRIVAL_SPAN_MS: u64 = 4_000;
+/// Number of idempotency keys that the payments share.
+const KEY_COUNT: usize = 16;
 
-/// Answers every probe that the core asks for.
-struct Probes;
+/// A sink that answers every probe with success and ignores everything else.
+struct SuccessfulProbes;
 
-impl Sink for Probes {
+impl Sink for SuccessfulProbes {
     fn probe(&self, core: &Sender, endpoint: id::Endpoint) {
         core.tell(Event::Probed(endpoint, true));
     }
@@ -62,17 +64,19 @@
     fn send(&self, _: id::Node, _: event::Message) {}
 }
 
-/// What one caller sent and was told.
-struct Told {
+/// The response that one caller received.
+struct Received {
+    /// Idempotency key of the request, if any.
     key: Option<String>,
-    /// Position among all that happened; none if it left.
+    /// Position of the response in the order of the history.
     order: u64,
-    seen: Reply,
+    response: Reply,
 }
 
+/// The filter chain under test.
 type Subject = Chain<Sender, Endpoints, claim::Keeper<Store, NoPeers>>;
 
-async fn start_core(clock: Clock, seed: u64) -> Sender {
+async fn start_dispatcher(clock: Clock, seed: u64) -> Sender {
     let arguments = Arguments {
         core: Scheduler::new(Settings {
             node: id::Node::from("entry-1"),
@@ -81,7 +85,7 @@
             ..Settings::default()
         }),
         clock,
-        sink: Box::new(Probes),
+        sink: Box::new(SuccessfulProbes),
     };
     let (actor, _) = Actor::spawn(None, Dispatcher, arguments)
         .await
@@ -129,7 +133,7 @@
     store
 }
 
-async fn build(seed: u64, endpoints: &Endpoints, registry: &mut Registry) -> Arc<Subject> {
+async fn build_chain(seed: u64, endpoints: &Endpoints, registry: &mut Registry) -> Arc<Subject> {
     let clock = Clock::start();
     let node = id::Node::from("entry-1");
     let keeper = claim::Keeper::start(
@@ -148,7 +152,7 @@
         clock,
         rules: tokio::sync::watch::channel(Some(Arc::new(rules))).1,
         places: Table::default(),
-        dispatcher: start_core(clock, seed).await,
+        dispatcher: start_dispatcher(clock, seed).await,
         resolve: Arc::new(|endpoint| Some(endpoint.to_string())),
         upstream: endpoints.clone(),
         keeper,
@@ -157,9 +161,10 @@
     })
 }
 
-/// Draws a request and its idempotency key; some are in a hurry.
-fn draw(rng: &mut SmallRng) -> (http::Request<Full<Bytes>>, Option<String>) {
-    let (request, key) = draw_call(rng);
+/// Draws a request, in some cases with a short deadline, and its idempotency
+/// key.
+fn draw_request(rng: &mut SmallRng) -> (http::Request<Full<Bytes>>, Option<String>) {
+    let (request, key) = draw_request_without_deadline(rng);
     if rng.random_range(0..10) >= 4 {
         return (request, key);
     }
@@ -170,119 +175,126 @@
     )
 }
 
-fn draw_call(rng: &mut SmallRng) -> (http::Request<Full<Bytes>>, Option<String>) {
+fn draw_request_without_deadline(
+    rng: &mut SmallRng,
+) -> (http::Request<Full<Bytes>>, Option<String>) {
     match rng.random_range(0..10) {
         0..5 => (chat(), None),
         5 => (request("GET", "/tickets/1", ""), None),
         6 => (request("POST", "/log", "{}"), None),
         _ => {
-            let key = format!("key-{}", rng.random_range(0..KEYS));
+            let key = format!("key-{}", rng.random_range(0..KEY_COUNT));
             (payment(&key), Some(key))
         }
     }
 }
 
-/// Sends one request; some callers leave before the end.
+/// Sends one request and records the response; some callers disconnect before
+/// its end.
 async fn call(
     subject: Arc<Subject>,
-    ledger: Arc<Mutex<Ledger>>,
+    history: Arc<Mutex<History>>,
     seed: u64,
-    told: Arc<Mutex<Vec<Told>>>,
+    received: Arc<Mutex<Vec<Received>>>,
 ) {
     let mut rng = SmallRng::seed_from_u64(seed);
-    sleep(Duration::from_millis(rng.random_range(0..SPREAD_MS))).await;
-    let (request, key) = draw(&mut rng);
-    let patience = if rng.random_range(0..10) == 0 {
+    sleep(Duration::from_millis(rng.random_range(0..ARRIVAL_SPAN_MS))).await;
+    let (request, key) = draw_request(&mut rng);
+    let disconnect_after = if rng.random_range(0..10) == 0 {
         Duration::from_millis(rng.random_range(0..800))
     } else {
         Duration::from_hours(1)
     };
     let answering = async { read(subject.serve(request).await).await };
-    let Ok(answer) = timeout(patience, answering).await else {
+    let Ok(answer) = timeout(disconnect_after, answering).await else {
         return;
     };
-    let order = ledger.lock().expect("unpoisoned").tick();
-    told.lock().expect("unpoisoned").push(Told {
+    let order = history.lock().expect("unpoisoned").tick();
+    received.lock().expect("unpoisoned").push(Received {
         key,
         order,
-        seen: answer,
+        response: answer,
     });
 }
 
-/// Returns the correlation value of the attempt that was told.
-fn correlation(told: &Told) -> String {
-    let number = told.seen.headers["dottereltally-request"].to_str();
+/// Returns the correlation value of the attempt that the response names.
+fn correlation(received: &Received) -> String {
+    let number = received.response.headers["dottereltally-request"].to_str();
     format!("entry-1-{}", number.expect("text"))
 }
 
-/// Checks that a refusal that says "not run" is true.
-fn check_not_run(told: &Told, ledger: &Ledger) {
-    assert!(!ledger.handed.contains_key(&correlation(told)));
-    let Some(key) = &told.key else {
+/// Checks that a request that was refused as "not-run" did not reach an
+/// endpoint, and neither did an earlier one with its key.
+fn check_not_run(received: &Received, history: &History) {
+    assert!(!history.deliveries.contains_key(&correlation(received)));
+    let Some(key) = &received.key else {
         return;
     };
-    for handed in ledger.handed.values().flatten() {
-        let earlier = handed.key.as_ref() == Some(key) && handed.order < told.order;
-        assert!(!earlier, "{key} had run: {}", told.seen.text);
+    for delivery in history.deliveries.values().flatten() {
+        let earlier = delivery.key.as_ref() == Some(key) && delivery.order < received.order;
+        assert!(!earlier, "{key} had run: {}", received.response.text);
     }
 }
 
-/// Checks that an answer is whole and belongs to its request.
-fn check_answer(told: &Told, answers: &mut BTreeMap<String, String>) {
-    let text = &told.seen.text;
-    if let Some(key) = &told.key {
+/// Checks that an answer belongs to its request, and that it is complete or its
+/// connection ended with an error; all answers to one key must be the same.
+fn check_answer(received: &Received, answers: &mut BTreeMap<String, String>) {
+    let text = &received.response.text;
+    if let Some(key) = &received.key {
         let first = answers.entry(key.clone()).or_insert_with(|| text.clone());
-        assert_eq!(first, text, "{key} was answered twice");
+        assert_eq!(first, text, "{key} got two different answers");
         return;
     }
-    let own = format!("\"id\": \"{}\"", correlation(told));
+    let own_id = format!("\"id\": \"{}\"", correlation(received));
     assert_eq!(
-        text.matches(&own).count(),
+        text.matches(&own_id).count(),
         text.matches("\"id\": ").count(),
         "{text}"
     );
-    if told.seen.headers["content-type"] == "text/event-stream" {
-        let whole = text.trim_end().ends_with("data: [DONE]");
-        assert_eq!(whole, told.seen.complete, "{text}");
-    } else if told.seen.complete {
+    if received.response.headers["content-type"] == "text/event-stream" {
+        let is_done = text.trim_end().ends_with("data: [DONE]");
+        assert_eq!(is_done, received.response.complete, "{text}");
+    } else if received.response.complete {
         assert!(text.ends_with('}'), "{text}");
     }
 }
 
-fn check(told: &[Told], ledger: &Ledger) -> BTreeMap<String, u64> {
-    let mut by_key: BTreeMap<&str, u64> = BTreeMap::new();
-    for (correlation, handed) in &ledger.handed {
-        assert_eq!(handed.len(), 1, "{correlation} was dispatched twice");
-        if let Some(key) = &handed[0].key {
-            *by_key.entry(key).or_default() += 1;
+/// Checks the history and what every caller received; returns the number of
+/// callers per outcome.
+fn check(received: &[Received], history: &History) -> BTreeMap<String, u64> {
+    let mut runs_by_key: BTreeMap<&str, u64> = BTreeMap::new();
+    for (correlation, deliveries) in &history.deliveries {
+        assert_eq!(deliveries.len(), 1, "{correlation} was dispatched twice");
+        if let Some(key) = &deliveries[0].key {
+            *runs_by_key.entry(key).or_default() += 1;
         }
     }
-    for (key, runs) in by_key {
+    for (key, runs) in runs_by_key {
         assert_eq!(runs, 1, "{key} ran {runs} times");
     }
     let mut answers = BTreeMap::new();
-    let mut tally: BTreeMap<String, u64> = BTreeMap::new();
-    for told in told {
-        if told.seen.status.is_success() {
-            check_answer(told, &mut answers);
-            *tally.entry("answered".to_owned()).or_default() += 1;
+    let mut outcomes: BTreeMap<String, u64> = BTreeMap::new();
+    for received in received {
+        if received.response.status.is_success() {
+            check_answer(received, &mut answers);
+            *outcomes.entry("answered".to_owned()).or_default() += 1;
             continue;
         }
-        let run = told.seen.member("run");
+        let run = received.response.member("run");
         if run == "not-run" {
-            check_not_run(told, ledger);
+            check_not_run(received, history);
         }
-        let kind = format!("{run} {}", told.seen.member("reason"));
-        *tally.entry(kind).or_default() += 1;
+        let kind = format!("{run} {}", received.response.member("reason"));
+        *outcomes.entry(kind).or_default() += 1;
     }
-    tally
+    outcomes
 }
 
 #[rstest]
 #[tokio::test(start_paused = true)]
-async fn no_run_breaks_a_promise(#[values(0, 100, 200, 300)] first: u64) {
+async fn guarantees_hold_under_random_faults(#[values(0, 100, 200, 300)] first_seed: u64) {
     let mut total: BTreeMap<String, u64> = BTreeMap::new();
-    for seed in first..first + 25 {
+    for seed in first_seed..first_seed + 25 {
         println!("seed {seed}");
         for (kind, count) in run(seed).await {
             *total.entry(kind).or_default() += count;
@@ -299,25 +311,25 @@
         "not-run overload",
         "not-run deadline",
     ] {
-        assert!(total.contains_key(kind), "no caller was told {kind}");
+        assert!(total.contains_key(kind), "no caller got the outcome {kind}");
     }
 }
 
-/// Runs one seed; returns what the callers were told.
+/// Runs all callers with one seed; returns their number per outcome.
 async fn run(seed: u64) -> BTreeMap<String, u64> {
     let endpoints = Endpoints::new(seed);
     let mut registry = Registry::default();
-    let subject = build(seed, &endpoints, &mut registry).await;
-    let told = Arc::new(Mutex::new(Vec::new()));
+    let subject = build_chain(seed, &endpoints, &mut registry).await;
+    let received = Arc::new(Mutex::new(Vec::new()));
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut calls = Vec::new();
-    for _ in 0..CALLERS {
-        let ledger = Arc::clone(&endpoints.ledger);
+    for _ in 0..CALLER_COUNT {
+        let history = Arc::clone(&endpoints.history);
         let calling = call(
             Arc::clone(&subject),
-            ledger,
+            history,
             rng.random(),
-            Arc::clone(&told),
+            Arc::clone(&received),
         );
         calls.push(tokio::spawn(calling));
     }
@@ -325,9 +337,9 @@
         call.await.expect("no caller panics");
     }
     subject.places.idle().await;
-    let ledger = endpoints.ledger.lock().expect("unpoisoned");
+    let history = endpoints.history.lock().expect("unpoisoned");
     let mut content = String::new();
     encode(&mut content, &registry).expect("metrics encode");
     assert!(content.contains("in_flight 0\n"), "{content}");
-    check(&told.lock().expect("unpoisoned"), &ledger)
+    check(&received.lock().expect("unpoisoned"), &history)
 }
