--- a/node/tests/test_random.rs
+++ b/node/tests/test_random.rs
@@ -1,7 +1,8 @@
-//! Long runs of random faults against the real programs.
+//! Runs random faults against the real programs.
 //!
-//! Whatever fails, a payment runs at most once, a refusal that says "not-run"
-//! is true, and a completion is whole and the caller's own or told as cut.
+//! Whatever fails, a payment runs at most once, a payment that was refused as
+//! "not-run" did not run, and a completion is complete and belongs to its
+//! request or is reported as cut short.
 
 use std::{
     sync::{
@@ -26,74 +27,78 @@
 use serde_json::{Value, json};
 use tokio::time::sleep;
 
-/// Faults of one run.
-const FAULTS: usize = 40;
-/// Callers that pay, each one payment after another.
-const PAYERS: u64 = 6;
-/// Callers that want completions.
-const READERS: u64 = 4;
-/// Times that a payment is sent at the most.
-const ATTEMPTS: usize = 6;
-/// Longest time that a fault lasts, in milliseconds.
+/// Number of faults in one run.
+const FAULT_COUNT: usize = 40;
+/// Number of callers that send payments, each one after another.
+const PAYER_COUNT: u64 = 6;
+/// Number of callers that request completions.
+const READER_COUNT: u64 = 4;
+/// Limit of the times that one payment is sent.
+const MAX_ATTEMPTS: usize = 6;
+/// Limit of the duration of a fault, in milliseconds.
 const MAX_FAULT_MS: u64 = 400;
-/// Nodes of the run.
+/// Names of the nodes.
 const NODES: [&str; 3] = ["entry-1", "entry-2", "entry-3"];
 
-/// What the callers share with the run.
+/// State that the callers share with the test.
 #[derive(Clone)]
-struct Scene {
-    callers: Arc<RwLock<Vec<String>>>,
-    ledger: String,
+struct Shared {
+    /// Addresses of the nodes.
+    node_addresses: Arc<RwLock<Vec<String>>>,
+    /// Address of the control page of the payment service.
+    ledger_control: String,
+    /// Set when the callers are to stop.
     over: Arc<AtomicBool>,
 }
 
-impl Scene {
+impl Shared {
     fn is_over(&self) -> bool {
         self.over.load(Ordering::SeqCst)
     }
 
-    /// Picks the address of a node.
-    fn node(&self, rng: &mut SmallRng) -> String {
-        let callers = self.callers.read().expect("no caller panics here");
-        callers.choose(rng).cloned().unwrap_or_default()
+    /// Returns the address of a random node.
+    fn random_node(&self, rng: &mut SmallRng) -> String {
+        let addresses = self.node_addresses.read().expect("unpoisoned");
+        addresses.choose(rng).cloned().unwrap_or_default()
     }
 
-    /// Returns how often the ledger ran a payment.
-    async fn runs(&self, key: &str) -> Result<u64> {
-        let page = client::control(&self.ledger).await?;
+    /// Returns how often the payment service ran a payment.
+    async fn payment_runs(&self, key: &str) -> Result<u64> {
+        let page = client::control(&self.ledger_control).await?;
         Ok(page["counts"]["by_key"][key].as_u64().unwrap_or(0))
     }
 
-    /// Takes over the nodes' addresses.
-    fn update(&self, deployment: &Deployment) -> Result<()> {
-        let mut callers = Vec::new();
+    /// Updates the addresses of the nodes from the deployment.
+    fn update_addresses(&self, deployment: &Deployment) -> Result<()> {
+        let mut addresses = Vec::new();
         for node in NODES {
-            callers.push(deployment.callers(node)?);
+            addresses.push(deployment.callers(node)?);
         }
-        *self.callers.write().expect("no caller panics here") = callers;
+        *self.node_addresses.write().expect("unpoisoned") = addresses;
         Ok(())
     }
 }
 
-/// One payment's keys and whether a caller saw its answer.
+/// Idempotency keys of payments, each with whether the payment was answered.
 type Payments = Vec<(String, bool)>;
 
-/// Pays until the run is over, each payment until it is answered.
-async fn pay(scene: Scene, payer: u64, seed: u64) -> Result<Payments> {
+/// Sends one payment after another until the run is over.
+async fn pay(shared: Shared, payer: u64, seed: u64) -> Result<Payments> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut payments = Vec::new();
-    while !scene.is_over() {
+    while !shared.is_over() {
         let key = format!("payment-{payer}-{}", payments.len());
-        let answered = pay_once(&scene, &key, &mut rng).await?;
+        let answered = pay_until_answered(&shared, &key, &mut rng).await?;
         payments.push((key, answered));
     }
     Ok(payments)
 }
 
-/// Sends one payment again and again through random nodes.
-async fn pay_once(scene: &Scene, key: &str, rng: &mut SmallRng) -> Result<bool> {
-    for _ in 0..ATTEMPTS {
-        let call = Call::new(&scene.node(rng), Method::POST, "/payments")
+/// Sends one payment through random nodes until it is answered or
+/// `MAX_ATTEMPTS` is reached; returns whether it was answered.
+async fn pay_until_answered(shared: &Shared, key: &str, rng: &mut SmallRng) -> Result<bool> {
+    for _ in 0..MAX_ATTEMPTS {
+        let call = Call::new(&shared.random_node(rng), Method::POST, "/payments")
             .key(KEY)
             .header("idempotency-key", key)
             .json(&json!({"payment": key}));
@@ -105,7 +110,7 @@
             return Ok(true);
         }
         if answer.run() == "not-run" {
-            let runs = scene.runs(key).await?;
+            let runs = shared.payment_runs(key).await?;
             ensure!(runs == 0, "{key} ran: {}", answer.text);
         }
         sleep(Duration::from_millis(rng.random_range(0..40))).await;
@@ -113,31 +118,38 @@
     Ok(false)
 }
 
-/// Asks for completions until the run is over; returns the number of whole
+/// Requests completions until the run is over; returns the number of complete
 /// answers.
-async fn read(scene: Scene, reader: u64, seed: u64) -> Result<u64> {
+async fn read(shared: Shared, reader: u64, seed: u64) -> Result<u64> {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut whole = 0;
+    let mut complete = 0;
     let mut number = 0;
-    while !scene.is_over() {
+    while !shared.is_over() {
         number += 1;
         let prompt = format!("reader {reader} {number}");
         let tokens = rng.random_range(2..60);
-        let call = Call::new(&scene.node(&mut rng), Method::POST, "/v1/chat/completions")
-            .key(KEY)
-            .json(&chat_body(&prompt, tokens));
+        let call = Call::new(
+            &shared.random_node(&mut rng),
+            Method::POST,
+            "/v1/chat/completions",
+        )
+        .key(KEY)
+        .json(&chat_body(&prompt, tokens));
         if let Ok(answer) = call.text().await {
-            whole += u64::from(is_whole(&answer, &prompt, tokens)?);
+            complete += u64::from(is_complete(&answer, &prompt, tokens)?);
         }
     }
-    Ok(whole)
+    Ok(complete)
 }
 
-/// Checks that an answer is whole and belongs to the prompt, or is told as cut.
-fn is_whole(answer: &Whole, prompt: &str, tokens: u64) -> Result<bool> {
+/// Returns whether an answer is complete.
+///
+/// Fails if a complete answer does not belong to the prompt, or if an incomplete
+/// one is not reported as such.
+fn is_complete(answer: &Whole, prompt: &str, tokens: u64) -> Result<bool> {
     if answer.status != StatusCode::OK || !answer.is_done() {
-        let told = answer.text.contains("\"error\"") || !answer.run().is_empty();
-        ensure!(told, "{prompt}: {}", answer.text);
+        let reported = answer.text.contains("\"error\"") || !answer.run().is_empty();
+        ensure!(reported, "{prompt}: {}", answer.text);
         return Ok(false);
     }
     let content = answer.content();
@@ -148,9 +160,13 @@
     Ok(true)
 }
 
-/// Causes one random fault and undoes it.
-async fn fail(deployment: &mut Deployment, scene: &Scene, rng: &mut SmallRng) -> Result<()> {
-    let span = Duration::from_millis(rng.random_range(20..MAX_FAULT_MS));
+/// Causes one random fault and ends it.
+async fn inject_random_fault(
+    deployment: &mut Deployment,
+    shared: &Shared,
+    rng: &mut SmallRng,
+) -> Result<()> {
+    let duration = Duration::from_millis(rng.random_range(20..MAX_FAULT_MS));
     let node = *NODES.choose(rng).expect("there are nodes");
     let engine = *["tally-1", "tally-2"]
         .choose(rng)
@@ -158,51 +174,65 @@
     match rng.random_range(0..13) {
         0 | 1 => {
             deployment.restart_node(node).await?;
-            scene.update(deployment)
+            shared.update_addresses(deployment)
         }
         2 | 3 => {
             deployment.node(node)?.signal(Signal::SIGSTOP)?;
-            sleep(span).await;
+            sleep(duration).await;
             deployment.node(node)?.signal(Signal::SIGCONT)
         }
-        4 => switch(deployment, "kv", json!({"down": true}), span).await,
-        5 => switch(deployment, "kv", json!({"lose_answers": 3}), span).await,
-        6 => switch(deployment, "kv", json!({"slow_ms": 300}), span).await,
-        7 => switch(deployment, "kv", json!({"silent": "existing"}), span).await,
-        8 => switch(deployment, "ledger-1", json!({"die": "before"}), span).await,
-        9 => switch(deployment, "ledger-1", json!({"die": "after"}), span).await,
-        10 => switch(deployment, "ledger-1", json!({"silent": "existing"}), span).await,
+        4 => inject(deployment, "kv", json!({"down": true}), duration).await,
+        5 => inject(deployment, "kv", json!({"lose_answers": 3}), duration).await,
+        6 => inject(deployment, "kv", json!({"slow_ms": 300}), duration).await,
+        7 => inject(deployment, "kv", json!({"silent": "existing"}), duration).await,
+        8 => inject(deployment, "ledger-1", json!({"die": "before"}), duration).await,
+        9 => inject(deployment, "ledger-1", json!({"die": "after"}), duration).await,
+        10 => {
+            inject(
+                deployment,
+                "ledger-1",
+                json!({"silent": "existing"}),
+                duration,
+            )
+            .await
+        }
         11 => {
-            switch(
+            inject(
                 deployment,
                 engine,
                 json!({"die": "after", "die_next": 2}),
-                span,
+                duration,
             )
             .await
         }
-        _ => switch(deployment, engine, json!({"cut_next": 2}), span).await,
+        _ => inject(deployment, engine, json!({"cut_next": 2}), duration).await,
     }
 }
 
-async fn switch(deployment: &Deployment, name: &str, fault: Value, span: Duration) -> Result<()> {
+/// Sets fault switches of a stand-in, and clears them after a time.
+async fn inject(
+    deployment: &Deployment,
+    name: &str,
+    fault: Value,
+    duration: Duration,
+) -> Result<()> {
     deployment.switch(name, &fault).await?;
-    sleep(span).await;
-    deployment.switch(name, &calm(name)).await
+    sleep(duration).await;
+    deployment.switch(name, &cleared_switches(name)).await
 }
 
-/// Returns the switches without faults.
-fn calm(name: &str) -> Value {
-    let mut calm = json!({"down": false, "silent": "none", "slow_ms": 0});
+/// Returns the switches of a stand-in, all set to no fault.
+fn cleared_switches(name: &str) -> Value {
+    let mut cleared_switches = json!({"down": false, "silent": "none", "slow_ms": 0});
     let own = match name {
         "kv" => json!({"lose_answers": 0}),
         "ledger-1" => json!({"die": "none"}),
         _ => json!({"die_next": 0, "cut_next": 0}),
     };
-    for (switch, position) in own.as_object().into_iter().flatten() {
-        calm[switch] = position.clone();
+    for (switch, value) in own.as_object().into_iter().flatten() {
+        cleared_switches[switch] = value.clone();
     }
-    calm
+    cleared_switches
 }
 
 #[rstest]
@@ -210,7 +240,7 @@
 #[case(2)]
 #[case(3)]
 #[tokio::test(flavor = "multi_thread")]
-async fn promises_hold_whatever_fails(#[case] seed: u64) -> Result<()> {
+async fn guarantees_hold_under_random_faults(#[case] seed: u64) -> Result<()> {
     println!("seed {seed}");
     let fixture = Fixture {
         nodes: NODES.len(),
@@ -218,48 +248,51 @@
         ..Fixture::default()
     };
     let mut deployment = fixture.start().await?;
-    let scene = Scene {
-        callers: Arc::default(),
-        ledger: deployment.endpoint("ledger-1")?.address("control"),
+    let shared = Shared {
+        node_addresses: Arc::default(),
+        ledger_control: deployment.endpoint("ledger-1")?.address("control"),
         over: Arc::default(),
     };
-    scene.update(&deployment)?;
+    shared.update_addresses(&deployment)?;
     let mut payers = Vec::new();
-    for payer in 0..PAYERS {
+    for payer in 0..PAYER_COUNT {
         let seed = seed * 1_000 + payer;
-        payers.push(tokio::spawn(pay(scene.clone(), payer, seed)));
+        payers.push(tokio::spawn(pay(shared.clone(), payer, seed)));
     }
     let mut readers = Vec::new();
-    for reader in 0..READERS {
+    for reader in 0..READER_COUNT {
         let seed = seed * 1_000 + 500 + reader;
-        readers.push(tokio::spawn(read(scene.clone(), reader, seed)));
+        readers.push(tokio::spawn(read(shared.clone(), reader, seed)));
     }
     let mut rng = SmallRng::seed_from_u64(seed);
-    for _ in 0..FAULTS {
-        fail(&mut deployment, &scene, &mut rng).await?;
+    for _ in 0..FAULT_COUNT {
+        inject_random_fault(&mut deployment, &shared, &mut rng).await?;
     }
-    scene.over.store(true, Ordering::SeqCst);
+    shared.over.store(true, Ordering::SeqCst);
     let mut answered = 0;
     let mut unanswered = 0;
     for payer in payers {
         for (key, was_answered) in payer.await?? {
-            let runs = scene.runs(&key).await?;
+            let runs = shared.payment_runs(&key).await?;
             ensure!(runs <= 1, "{key} ran {runs} times");
-            ensure!(!was_answered || runs == 1, "{key} was answered, not run");
+            ensure!(
+                !was_answered || runs == 1,
+                "{key} was answered but did not run"
+            );
             answered += u64::from(was_answered);
             unanswered += u64::from(!was_answered);
         }
     }
-    let mut whole = 0;
+    let mut complete = 0;
     for reader in readers {
-        whole += reader.await??;
+        complete += reader.await??;
     }
-    println!("{answered} payments answered, {unanswered} not, {whole} completions whole");
-    ensure!(answered > 0 && whole > 0, "nothing was served");
+    println!("{answered} payments answered, {unanswered} not, {complete} completions complete");
+    ensure!(answered > 0 && complete > 0, "nothing was served");
     assert_recovers(&deployment).await
 }
 
-/// Checks that every node serves again once nothing fails any more.
+/// Checks that every node serves again after the last fault.
 async fn assert_recovers(deployment: &Deployment) -> Result<()> {
     deployment.settled(1).await?;
     for node in NODES {
