--- a/node/tests/test_path.rs
+++ b/node/tests/test_path.rs
@@ -1,4 +1,4 @@
-//! The whole path, with the real programs.
+//! End-to-end tests of the request path with the real programs.
 
 use dottereltally_testutils::{
     client::Version,
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_in_one_piece() -> Result<()> {
+async fn answers_without_streaming() -> Result<()> {
     let deployment = Fixture::default().start().await?;
     let mut body = chat_body("hello", 7);
     body["stream"] = json!(false);
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn passes_plain_calls_on() -> Result<()> {
+async fn forwards_plain_calls() -> Result<()> {
     let deployment = Fixture::default().start().await?;
     let call = deployment.call("entry-2", Method::GET, "/tickets/17")?;
     let answer = call.text().await?;
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_cancels_in_the_engine() -> Result<()> {
+async fn a_disconnected_caller_cancels_its_request_in_the_engine() -> Result<()> {
     let fixture = Fixture {
         engines: 1,
         ..Fixture::default()
--- a/node/tests/test_sse.rs
+++ b/node/tests/test_sse.rs
@@ -1,4 +1,5 @@
-//! The scanner of event streams, however the stream is cut into frames.
+//! Tests of the scanner of event streams, whose results must not depend on how
+//! a stream is split into frames.
 
 use dottereltally::sse::{Scanner, Usage};
 use rstest::rstest;
@@ -6,23 +7,23 @@
 const STREAM: &str = "data: {\"a\": 1}\r\n\r\n: comment\nevent: x\ndata:{\"a\": 2}\n\ndata: {\"usage\": {\"completion_tokens\": 2, \"prompt_tokens_details\": {\"cached_tokens\": 7}}}\n\ndata: [DONE]\n\n";
 
 #[test]
-fn finds_the_same_in_any_two_frames() {
-    for cut in 0..=STREAM.len() {
-        let (head, tail) = STREAM.split_at(cut);
+fn results_are_the_same_for_any_two_frames() {
+    for index in 0..=STREAM.len() {
+        let (head, tail) = STREAM.split_at(index);
         let mut scanner = Scanner::default();
         let events = scanner.feed(head.as_bytes()) + scanner.feed(tail.as_bytes());
-        assert_eq!(events, 3, "cut at {cut}");
-        assert!(scanner.is_done(), "cut at {cut}");
+        assert_eq!(events, 3, "split at {index}");
+        assert!(scanner.is_done(), "split at {index}");
         let usage = Usage {
             cached: 7,
             output: 2,
         };
-        assert_eq!(scanner.usage(), Some(usage), "cut at {cut}");
+        assert_eq!(scanner.usage(), Some(usage), "split at {index}");
     }
 }
 
 #[test]
-fn finds_the_same_byte_by_byte() {
+fn results_are_the_same_byte_by_byte() {
     let mut scanner = Scanner::default();
     for byte in STREAM.bytes() {
         scanner.feed(&[byte]);
@@ -36,7 +37,7 @@
 #[case::inside_data("data: \"data: [DONE]\"\n\n")]
 #[case::other_field("event: [DONE]\n\n")]
 #[case::not_at_the_start(" data: [DONE]\n\n")]
-fn is_not_done_without_the_last_event(#[case] stream: &str) {
+fn is_not_done_without_the_done_event(#[case] stream: &str) {
     let mut scanner = Scanner::default();
     scanner.feed(stream.as_bytes());
     assert!(!scanner.is_done());
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn passes_over_a_line_without_bounds() {
+fn skips_an_overlong_line() {
     let mut scanner = Scanner::default();
     scanner.feed(b"data: ");
     for _ in 0..100 {
--- a/node/tests/test_tiers.rs
+++ b/node/tests/test_tiers.rs
@@ -1,4 +1,5 @@
-//! Urgent work outlives routine work under overload.
+//! Under overload, requests of the highest tier are served while those of the
+//! lowest are shed.
 
 use dottereltally_testutils::{
     client::Whole,
@@ -12,20 +13,22 @@
 use serde_json::json;
 use tokio::task::JoinHandle;
 
-/// Requests of the highest tier, which the engine can serve in time.
-const GATES: usize = 30;
-/// Requests of the lowest tier, which it can't.
-const TAGS: usize = 200;
-/// Length of a prompt, 2,000 tokens.
+/// Number of requests of the highest tier, few enough that the engine can serve
+/// them before their deadline.
+const URGENT_COUNT: usize = 30;
+/// Number of requests of the lowest tier, too many for that.
+const ROUTINE_COUNT: usize = 200;
+/// Length of a prompt; it has 2,000 tokens.
 const PROMPT_BYTES: usize = 8_000;
-/// Prompt tokens that the engine computes per second: 12 requests.
-const PREFILL_RATE: f64 = 24_000.0;
+/// Prompt tokens that the engine computes per second, enough for 12 requests.
+const PREFILL_TOKENS_PER_SECOND: f64 = 24_000.0;
 
+/// Prompts and the requests that carry them.
 type Calls = Vec<(String, JoinHandle<Result<Whole>>)>;
 
-fn send(deployment: &Deployment, node: &str, tier: &str, number: usize) -> Result<Calls> {
+fn send(deployment: &Deployment, node: &str, tier: &str, count: usize) -> Result<Calls> {
     let mut calls = Vec::new();
-    for number in 0..number {
+    for number in 0..count {
         let prompt = format!("{tier} {number} {}", "x".repeat(PROMPT_BYTES));
         let mut body = chat_body(&prompt, 2);
         body["model"] = json!(MODELS[1]);
@@ -39,31 +42,34 @@
     Ok(calls)
 }
 
-/// The routine work comes first and through another node than the urgent.
+/// The routine requests arrive first, through `entry-1`; the urgent ones follow
+/// through the same node or another.
 #[rstest]
 #[case("entry-1")]
 #[case("entry-2")]
 #[tokio::test(flavor = "multi_thread")]
-async fn urgent_work_is_served(#[case] urgent: &str) -> Result<()> {
+async fn urgent_requests_are_served_under_overload(#[case] urgent_node: &str) -> Result<()> {
     let fixture = Fixture {
         engines: 1,
         ..Fixture::default()
     };
     let deployment = fixture.start().await?;
-    let rate = json!({"prefill_rate": PREFILL_RATE});
+    let rate = json!({"prefill_rate": PREFILL_TOKENS_PER_SECOND});
     deployment.switch("tally-1", &rate).await?;
-    let tags = send(&deployment, "entry-1", "tag", TAGS)?;
+    let routine_calls = send(&deployment, "entry-1", "tag", ROUTINE_COUNT)?;
     deployment.reaches("tally-1", "received", 5).await?;
-    let gates = send(&deployment, urgent, "gate", GATES)?;
-    for (prompt, call) in gates {
-        let answer = call.await?.wrap_err("an urgent answer was cut")?;
+    let urgent_calls = send(&deployment, urgent_node, "gate", URGENT_COUNT)?;
+    for (prompt, call) in urgent_calls {
+        let answer = call
+            .await?
+            .wrap_err("the answer to an urgent request was cut short")?;
         assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
         assert_eq!(answer.content(), format::text(&prompt, 2));
     }
     let mut shed = 0;
-    for (prompt, call) in tags {
+    for (prompt, call) in routine_calls {
         let Ok(answer) = call.await? else {
-            // Its deadline passed while it was answered.
+            // The deadline passed in the middle of the answer.
             shed += 1;
             continue;
         };
--- a/node/tests/test_whole.rs
+++ b/node/tests/test_whole.rs
@@ -1,4 +1,4 @@
-//! A caller gets the whole answer to its own request, or is told.
+//! A caller gets the complete answer to its own request, or an error.
 
 use dottereltally_testutils::{
     deployment::Deployment,
@@ -9,8 +9,8 @@
 use http::{Method, StatusCode};
 use serde_json::json;
 
-/// Number of callers at a time.
-const CALLERS: usize = 24;
+/// Number of concurrent callers.
+const CALLER_COUNT: usize = 24;
 
 async fn single_engine() -> Result<Deployment> {
     let fixture = Fixture {
@@ -22,7 +22,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_that_ends_early_is_told_as_such() -> Result<()> {
+async fn a_stream_that_ends_early_is_reported_as_cut() -> Result<()> {
     let deployment = single_engine().await?;
     deployment
         .switch("tally-1", &json!({"cut_next": 1}))
@@ -37,12 +37,12 @@
     };
     assert!(!text.contains("[DONE]"), "{text}");
     assert!(text.contains("\"error\""), "{text}");
-    assert!(end.is_err(), "the connection ended as if all were well");
+    assert!(end.is_err(), "the connection ended without an error");
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_document_that_breaks_off_is_not_passed_on() -> Result<()> {
+async fn an_incomplete_document_is_not_passed_on() -> Result<()> {
     let deployment = single_engine().await?;
     let fault = json!({"die": "after", "die_next": 1});
     deployment.switch("tally-1", &fault).await?;
@@ -68,25 +68,25 @@
     Ok(())
 }
 
-/// Connections whose streams were cancelled are never used again, so that
-/// nobody gets the rest of another caller's answer.
+/// Connections whose streams were cancelled are never reused, so that no caller
+/// gets the rest of another caller's answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn nobody_gets_the_rest_of_a_cancelled_stream() -> Result<()> {
+async fn no_caller_gets_the_rest_of_a_cancelled_stream() -> Result<()> {
     let deployment = single_engine().await?;
     for round in 0..4 {
-        let mut left = Vec::new();
-        for number in 0..CALLERS {
+        let mut cancelled = Vec::new();
+        for number in 0..CALLER_COUNT {
             let prompt = format!("left {round} {number}");
             let mut answer = deployment.chat("entry-1", &prompt, 500)?.send().await?;
             answer.piece().await?;
-            left.push(answer);
+            cancelled.push(answer);
         }
         let mut calls = Vec::new();
-        for number in 0..CALLERS {
+        for number in 0..CALLER_COUNT {
             let prompt = format!("stayed {round} {number}");
             let call = deployment.chat("entry-1", &prompt, 16)?;
             calls.push((prompt, tokio::spawn(call.text())));
-            left.pop();
+            cancelled.pop();
         }
         for (prompt, call) in calls {
             let answer = call.await??;
