--- a/node/tests/test_not_run.rs
+++ b/node/tests/test_not_run.rs
@@ -1,4 +1,5 @@
-//! A refusal that says "not-run" is true.
+//! A refusal with the member `"run": "not-run"` means that no endpoint received
+//! the request.
 
 use dottereltally_testutils::{
     client::{Call, Whole},
@@ -12,17 +13,17 @@
 use serde_json::json;
 
 const CHAT: &str = "/v1/chat/completions";
-/// Length of a prompt of which the windows hold only a few.
+/// Length of a prompt that is so large that a window admits only a few at a time.
 const PROMPT_BYTES: usize = 32_000;
 
-/// Returns how many requests the endpoints received.
-async fn received(deployment: &Deployment) -> Result<u64> {
-    let mut received = 0;
+/// Returns how many requests all endpoints together received.
+async fn count_received(deployment: &Deployment) -> Result<u64> {
+    let mut total = 0;
     for name in deployment.endpoint_names() {
         let counts = deployment.counts(&name).await?;
-        received += counts["received"].as_u64().unwrap_or(0);
+        total += counts["received"].as_u64().unwrap_or(0);
     }
-    Ok(received)
+    Ok(total)
 }
 
 fn assert_refused(answer: &Whole, status: u16, reason: &str) {
@@ -37,24 +38,24 @@
     }
 }
 
-/// Ways to send a request that can't be served.
+/// Cause for which a request is refused before it reaches an endpoint.
 #[derive(Clone, Copy, Debug)]
-enum Fault {
+enum Rejection {
     UnknownKey,
     NoKey,
     UnknownPath,
     UnknownMethod,
-    NotJson,
+    NotCompletion,
     TooLarge,
     UnknownTier,
     HigherTier,
-    BadDeadline,
+    MalformedDeadline,
     NoIdempotencyKey,
     NoEndpoint,
     UnknownModel,
 }
 
-impl Fault {
+impl Rejection {
     fn request(self, callers: &str) -> Call {
         let call = |method, path| Call::new(callers, method, path).key("demo-key");
         let chat = call(Method::POST, CHAT).json(&chat_body("hello", 4));
@@ -63,11 +64,11 @@
             Self::NoKey => Call::new(callers, Method::POST, CHAT).json(&chat_body("hello", 4)),
             Self::UnknownPath => call(Method::POST, "/v2/nothing"),
             Self::UnknownMethod => call(Method::DELETE, CHAT),
-            Self::NotJson => call(Method::POST, CHAT).json(&json!("no completion")),
+            Self::NotCompletion => call(Method::POST, CHAT).json(&json!("no completion")),
             Self::TooLarge => chat.json(&chat_body(&"x".repeat(5 << 20), 4)),
             Self::UnknownTier => chat.header("dottereltally-tier", "highest"),
             Self::HigherTier => chat.header("dottereltally-tier", "gate"),
-            Self::BadDeadline => chat.header("dottereltally-deadline", "soon"),
+            Self::MalformedDeadline => chat.header("dottereltally-deadline", "soon"),
             Self::NoIdempotencyKey => call(Method::POST, "/payments"),
             Self::NoEndpoint => call(Method::GET, "/nowhere"),
             Self::UnknownModel => {
@@ -80,39 +81,39 @@
 }
 
 #[rstest]
-#[case(Fault::UnknownKey, 401, "unauthenticated")]
-#[case(Fault::NoKey, 401, "unauthenticated")]
-#[case(Fault::UnknownPath, 404, "no-call")]
-#[case(Fault::UnknownMethod, 405, "no-call")]
-#[case(Fault::NotJson, 400, "malformed")]
-#[case(Fault::TooLarge, 413, "too-large")]
-#[case(Fault::UnknownTier, 400, "malformed")]
-#[case(Fault::HigherTier, 400, "malformed")]
-#[case(Fault::BadDeadline, 400, "malformed")]
-#[case(Fault::NoIdempotencyKey, 400, "no-key")]
-#[case(Fault::NoEndpoint, 503, "no-endpoint")]
+#[case(Rejection::UnknownKey, 401, "unauthenticated")]
+#[case(Rejection::NoKey, 401, "unauthenticated")]
+#[case(Rejection::UnknownPath, 404, "no-call")]
+#[case(Rejection::UnknownMethod, 405, "no-call")]
+#[case(Rejection::NotCompletion, 400, "malformed")]
+#[case(Rejection::TooLarge, 413, "too-large")]
+#[case(Rejection::UnknownTier, 400, "malformed")]
+#[case(Rejection::HigherTier, 400, "malformed")]
+#[case(Rejection::MalformedDeadline, 400, "malformed")]
+#[case(Rejection::NoIdempotencyKey, 400, "no-key")]
+#[case(Rejection::NoEndpoint, 503, "no-endpoint")]
 #[tokio::test(flavor = "multi_thread")]
-async fn refuses_what_can_not_be_served(
-    #[case] fault: Fault,
+async fn refuses_before_dispatch(
+    #[case] rejection: Rejection,
     #[case] status: u16,
     #[case] reason: &str,
 ) -> Result<()> {
     let deployment = Fixture::single().start().await?;
-    let call = fault.request(&deployment.callers("entry-1")?);
+    let call = rejection.request(&deployment.callers("entry-1")?);
     let answer = call.text().await?;
     assert_refused(&answer, status, reason);
-    assert_eq!(received(&deployment).await?, 0);
+    assert_eq!(count_received(&deployment).await?, 0);
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn refuses_a_model_that_no_engine_has() -> Result<()> {
     let deployment = Fixture::single().start().await?;
-    let call = Fault::UnknownModel.request(&deployment.callers("entry-1")?);
+    let call = Rejection::UnknownModel.request(&deployment.callers("entry-1")?);
     let answer = call.text().await?;
     assert!(!answer.status.is_success(), "{}", answer.text);
     assert_eq!(answer.run(), "not-run", "{}", answer.text);
-    assert_eq!(received(&deployment).await?, 0);
+    assert_eq!(count_received(&deployment).await?, 0);
     Ok(())
 }
 
@@ -124,13 +125,13 @@
     }
     let first = deployment.chat("entry-1", "first", 4)?.key(SMALL_KEY);
     let first = tokio::spawn(first.text());
-    dottereltally_testutils::wait::eventually("the first runs", async || {
-        (received(&deployment).await.ok()? == 1).then_some(())
+    dottereltally_testutils::wait::eventually("the first request reaches an engine", async || {
+        (count_received(&deployment).await.ok()? == 1).then_some(())
     })
     .await?;
     let second = deployment.chat("entry-1", "second", 4)?.key(SMALL_KEY);
     assert_refused(&second.text().await?, 429, "limit");
-    assert_eq!(received(&deployment).await?, 1);
+    assert_eq!(count_received(&deployment).await?, 1);
     for name in ["tally-1", "tally-2"] {
         deployment.switch(name, &json!({"hold": false})).await?;
     }
@@ -138,7 +139,7 @@
     Ok(())
 }
 
-/// Every endpoint refuses connections until the deadline.
+/// Every endpoint refuses connections until the request's deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn refuses_when_no_endpoint_accepts_connections() -> Result<()> {
     let deployment = Fixture::single().start().await?;
@@ -149,14 +150,14 @@
     let answer = call.header("dottereltally-deadline", "2s").text().await?;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(answer.run(), "not-run", "{}", answer.text);
-    assert_eq!(received(&deployment).await?, 0);
+    assert_eq!(count_received(&deployment).await?, 0);
     Ok(())
 }
 
-/// What waits behind a full window is refused at its deadline, and no engine
-/// has seen it.
+/// A request that waits behind a full window is refused at its deadline without
+/// having reached an engine.
 #[tokio::test(flavor = "multi_thread")]
-async fn refuses_what_waits_too_long() -> Result<()> {
+async fn refuses_a_request_that_waits_past_its_deadline() -> Result<()> {
     let fixture = Fixture {
         engines: 1,
         ..Fixture::single()
@@ -194,6 +195,6 @@
     Ok(())
 }
 
-fn long_prompt(kind: &str, number: usize) -> String {
-    format!("{kind} {number} {}", "x".repeat(PROMPT_BYTES))
+fn long_prompt(label: &str, number: usize) -> String {
+    format!("{label} {number} {}", "x".repeat(PROMPT_BYTES))
 }
--- a/node/tests/test_operations.rs
+++ b/node/tests/test_operations.rs
@@ -1,4 +1,4 @@
-//! The pages for operators.
+//! Tests of the pages for operators: health, metrics and status.
 
 use dottereltally::{
     operations::{Pages, Source, Status},
@@ -11,11 +11,12 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-struct Fixed {
+/// A source with a constant status.
+struct Stub {
     ready: bool,
 }
 
-impl Source for Fixed {
+impl Source for Stub {
     async fn status(&self) -> Status {
         Status {
             node: id::Node::from("entry-1"),
@@ -49,11 +50,15 @@
 async fn get(ready: bool, method: Method, path: &str) -> (StatusCode, String) {
     let mut registry = Registry::default();
     registry.register("things", "Things", Counter::<u64>::default());
-    let pages = Pages::new(registry, Fixed { ready });
+    let pages = Pages::new(registry, Stub { ready });
     let response = pages.get(&method, path).await;
     let status = response.status();
-    let body = response.into_body().collect().await.expect("whole");
-    let text = String::from_utf8(body.to_bytes().to_vec()).expect("text");
+    let body = response
+        .into_body()
+        .collect()
+        .await
+        .expect("a complete body");
+    let text = String::from_utf8(body.to_bytes().to_vec()).expect("a body in UTF-8");
     (status, text)
 }
 
@@ -64,13 +69,13 @@
 #[case(false, "/readyz", 503)]
 #[case(true, "/other", 404)]
 #[tokio::test]
-async fn tells_health(#[case] ready: bool, #[case] path: &str, #[case] expected: u16) {
+async fn reports_health(#[case] ready: bool, #[case] path: &str, #[case] expected: u16) {
     let (status, _) = get(ready, Method::GET, path).await;
     assert_eq!(status, expected);
 }
 
 #[tokio::test]
-async fn only_reads() {
+async fn refuses_methods_other_than_get() {
     let (status, _) = get(true, Method::POST, "/metrics").await;
     assert_eq!(status, StatusCode::METHOD_NOT_ALLOWED);
 }
@@ -83,7 +88,7 @@
 }
 
 #[test]
-fn tells_what_the_process_takes() {
+fn reports_cpu_time_and_memory_of_the_process() {
     let mut registry = Registry::default();
     registry.register_collector(Box::new(Process));
     let mut text = String::new();
@@ -100,9 +105,9 @@
 }
 
 #[tokio::test]
-async fn tells_the_state() {
+async fn reports_the_status_of_the_node() {
     let (_, text) = get(true, Method::GET, "/status").await;
-    let status: Value = serde_json::from_str(&text).expect("JSON");
+    let status: Value = serde_json::from_str(&text).expect("a JSON body");
     let expected = json!({
         "node": "entry-1",
         "data_centre": "plovdiv",
--- a/node/tests/test_problem.rs
+++ b/node/tests/test_problem.rs
@@ -1,4 +1,4 @@
-//! Problem bodies.
+//! Tests of problem responses.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 
 #[tokio::test]
-async fn carries_what_rfc_9457_asks_for() {
+async fn has_the_members_of_rfc_9457() {
     let problem = Problem::may_have_run(StatusCode::BAD_GATEWAY, Reason::Broken, "look at it");
     let response = problem.response(Some(id::Request(3)));
     assert_eq!(response.status(), StatusCode::BAD_GATEWAY);
@@ -20,8 +20,12 @@
     );
     assert_eq!(response.headers()["dottereltally-request"], "3");
     assert!(!response.headers().contains_key("retry-after"));
-    let body = response.into_body().collect().await.expect("whole");
-    let body: Value = serde_json::from_slice(&body.to_bytes()).expect("JSON");
+    let body = response
+        .into_body()
+        .collect()
+        .await
+        .expect("a complete body");
+    let body: Value = serde_json::from_slice(&body.to_bytes()).expect("a JSON body");
     let expected = json!({
         "type": "about:blank",
         "title": "Bad Gateway",
@@ -38,7 +42,7 @@
 #[case(Duration::from_millis(1), "1")]
 #[case(Duration::from_secs(2), "2")]
 #[case(Duration::from_millis(2001), "3")]
-fn tells_whole_seconds_rounded_up(#[case] delay: Duration, #[case] expected: &str) {
+fn rounds_retry_after_up_to_whole_seconds(#[case] delay: Duration, #[case] expected: &str) {
     let problem = Problem::unread(StatusCode::SERVICE_UNAVAILABLE, Reason::Platform, "");
     let response = problem.retry_after(delay).response(None);
     assert_eq!(response.headers()["retry-after"], expected);
