--- a/node/tests/test_outage.rs
+++ b/node/tests/test_outage.rs
@@ -1,4 +1,5 @@
-//! The platform is away at the start, under load and at the shutdown.
+//! Nodes work through outages of the platform, that is of the key-value service
+//! and the host list: at start, under load and at shutdown.
 
 use dottereltally_testutils::{
     deployment::Deployment, engine::format, fixture::Fixture, wait::eventually,
@@ -9,18 +10,18 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// Number of requests per node while the platform is away.
+/// Number of requests per node in each check that nodes serve.
 const REQUESTS: usize = 12;
 
-/// Parts of the platform that are away.
+/// Part of the platform that is unavailable.
 #[derive(Clone, Copy, Debug)]
-enum Away {
+enum Outage {
     Kv,
     Hosts,
     Both,
 }
 
-impl Away {
+impl Outage {
     const fn names(self) -> &'static [&'static str] {
         match self {
             Self::Kv => &["kv"],
@@ -29,6 +30,7 @@
         }
     }
 
+    /// Sets fault switches of each unavailable part.
     async fn set(self, deployment: &Deployment, change: &Value) -> Result<()> {
         for name in self.names() {
             deployment.switch(name, change).await?;
@@ -50,20 +52,23 @@
 }
 
 #[rstest]
-#[case(Away::Kv, json!({"down": true}))]
-#[case(Away::Hosts, json!({"down": true}))]
-#[case(Away::Both, json!({"down": true}))]
-#[case(Away::Both, json!({"silent": "all"}))]
-#[case(Away::Both, json!({"slow_ms": 5000}))]
+#[case(Outage::Kv, json!({"down": true}))]
+#[case(Outage::Hosts, json!({"down": true}))]
+#[case(Outage::Both, json!({"down": true}))]
+#[case(Outage::Both, json!({"silent": "all"}))]
+#[case(Outage::Both, json!({"slow_ms": 5000}))]
 #[tokio::test(flavor = "multi_thread")]
-async fn under_load(#[case] away: Away, #[case] fault: Value) -> Result<()> {
+async fn serves_under_load_during_an_outage(
+    #[case] outage: Outage,
+    #[case] fault: Value,
+) -> Result<()> {
     let deployment = Fixture::default().start().await?;
     assert_serves(&deployment, &["entry-1", "entry-2"]).await?;
-    away.set(&deployment, &fault).await?;
+    outage.set(&deployment, &fault).await?;
     assert_serves(&deployment, &["entry-1", "entry-2"]).await?;
-    let back = json!({"down": false, "silent": "none", "slow_ms": 0});
-    away.set(&deployment, &back).await?;
-    eventually("payments are taken again", async || {
+    let restored = json!({"down": false, "silent": "none", "slow_ms": 0});
+    outage.set(&deployment, &restored).await?;
+    eventually("payments are accepted again", async || {
         let answer = deployment.pay("entry-1", "after").ok()?.text().await.ok()?;
         answer.status.is_success().then_some(())
     })
@@ -72,27 +77,32 @@
     Ok(())
 }
 
-/// A node that starts alone while the platform is away serves once it is back.
+/// A node that starts while the platform is unavailable serves once it is
+/// available again.
 #[tokio::test(flavor = "multi_thread")]
-async fn at_the_start() -> Result<()> {
+async fn a_node_started_during_an_outage_serves_after_it() -> Result<()> {
     let mut deployment = Fixture::default().start().await?;
-    Away::Both.set(&deployment, &json!({"down": true})).await?;
+    Outage::Both
+        .set(&deployment, &json!({"down": true}))
+        .await?;
     deployment.add_node("entry-3", "plovdiv").await?;
     let early = deployment.chat("entry-3", "early", 2)?.text().await?;
     if early.status != StatusCode::OK {
         assert_eq!(early.run(), "not-run", "{}", early.text);
     }
-    Away::Both.set(&deployment, &json!({"down": false})).await?;
+    Outage::Both
+        .set(&deployment, &json!({"down": false}))
+        .await?;
     deployment.settled(1).await?;
     assert_serves(&deployment, &["entry-1", "entry-2", "entry-3"]).await
 }
 
-/// A node that starts while the key-value service is away gets the
+/// A node that starts while the key-value service is unavailable gets the
 /// configuration from a peer.
 #[tokio::test(flavor = "multi_thread")]
-async fn configuration_from_a_peer() -> Result<()> {
+async fn a_node_started_during_an_outage_gets_the_configuration_from_a_peer() -> Result<()> {
     let mut deployment = Fixture::default().start().await?;
-    Away::Kv.set(&deployment, &json!({"down": true})).await?;
+    Outage::Kv.set(&deployment, &json!({"down": true})).await?;
     deployment.add_node("entry-3", "plovdiv").await?;
     deployment.settled(1).await?;
     assert_serves(&deployment, &["entry-3"]).await
@@ -102,7 +112,7 @@
 #[case(json!({"down": true}))]
 #[case(json!({"silent": "all"}))]
 #[tokio::test(flavor = "multi_thread")]
-async fn at_the_shutdown(#[case] fault: Value) -> Result<()> {
+async fn a_shutdown_during_an_outage_finishes_streams(#[case] fault: Value) -> Result<()> {
     let fixture = Fixture {
         settings: "shutdown: {notice: 200ms, grace: 30s}".to_owned(),
         ..Fixture::default()
@@ -121,7 +131,7 @@
         (running == 1).then_some(())
     })
     .await?;
-    Away::Both.set(&deployment, &fault).await?;
+    Outage::Both.set(&deployment, &fault).await?;
     deployment.node("entry-1")?.signal(Signal::SIGTERM)?;
     for name in ["tally-1", "tally-2"] {
         deployment.switch(name, &json!({"hold": false})).await?;
--- a/node/tests/test_shutdown.rs
+++ b/node/tests/test_shutdown.rs
@@ -1,4 +1,4 @@
-//! A graceful shutdown cuts no request.
+//! A graceful shutdown lets every request in flight finish.
 
 use dottereltally_testutils::{
     client::Answer, deployment::Deployment, engine::format, fixture::Fixture, wait::eventually,
@@ -8,11 +8,12 @@
 use nix::sys::signal::Signal;
 use serde_json::json;
 
-/// Streams that are in flight when a node is told to stop.
-const STREAMS: usize = 8;
-/// Tokens of each of them.
-const TOKENS: u64 = 400;
-/// Time of a decoding step, so that the streams outlast the notice time.
+/// Number of streams in flight when a node gets SIGTERM.
+const STREAM_COUNT: usize = 8;
+/// Number of tokens of each stream.
+const TOKENS_PER_STREAM: u64 = 400;
+/// Time of a decoding step in milliseconds, so long that the streams outlast
+/// the notice time.
 const DECODE_MS: f64 = 10.0;
 
 async fn start() -> Result<Deployment> {
@@ -29,22 +30,26 @@
     Ok(deployment)
 }
 
-async fn stream(deployment: &Deployment, node: &str, prompt: &str) -> Result<Answer> {
-    let mut answer = deployment.chat(node, prompt, TOKENS)?.send().await?;
+/// Starts a stream and reads its first piece.
+async fn start_stream(deployment: &Deployment, node: &str, prompt: &str) -> Result<Answer> {
+    let mut answer = deployment
+        .chat(node, prompt, TOKENS_PER_STREAM)?
+        .send()
+        .await?;
     assert_eq!(answer.status, StatusCode::OK);
     assert!(answer.piece().await?.is_some());
     Ok(answer)
 }
 
-/// Stops every node in turn; the streams of each go on to their end.
+/// Sends SIGTERM to every node in turn; the streams of each run to their end.
 #[tokio::test(flavor = "multi_thread")]
-async fn streams_outlast_the_signal() -> Result<()> {
+async fn finishes_streams_after_sigterm() -> Result<()> {
     let mut deployment = start().await?;
     for node in ["entry-1", "entry-2", "entry-3"] {
         let mut calls = Vec::new();
-        for number in 0..STREAMS {
+        for number in 0..STREAM_COUNT {
             let prompt = format!("{node} {number}");
-            let call = deployment.chat(node, &prompt, TOKENS)?;
+            let call = deployment.chat(node, &prompt, TOKENS_PER_STREAM)?;
             calls.push((prompt, tokio::spawn(call.text())));
         }
         eventually("the streams run", async || {
@@ -53,7 +58,7 @@
                 let counts = deployment.counts(name).await.ok()?;
                 running += counts["running"].as_u64()?;
             }
-            (running >= STREAMS as u64).then_some(())
+            (running >= STREAM_COUNT as u64).then_some(())
         })
         .await?;
         deployment.node(node)?.signal(Signal::SIGTERM)?;
@@ -61,7 +66,7 @@
             let answer = call.await??;
             assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
             assert!(answer.is_done(), "{node}: {prompt} was cut");
-            assert_eq!(answer.content(), format::text(&prompt, TOKENS));
+            assert_eq!(answer.content(), format::text(&prompt, TOKENS_PER_STREAM));
         }
         let status = deployment.node(node)?.wait().await?;
         assert!(status.success(), "{node} ended with {status}");
@@ -69,11 +74,12 @@
     Ok(())
 }
 
-/// The node is not ready at once, and serves what still reaches it.
+/// After SIGTERM a node immediately stops being ready. A request that still
+/// reaches it is served, or refused as not run.
 #[tokio::test(flavor = "multi_thread")]
-async fn serves_during_the_notice() -> Result<()> {
+async fn serves_during_the_notice_time() -> Result<()> {
     let mut deployment = start().await?;
-    let running = stream(&deployment, "entry-1", "long").await?;
+    let running = start_stream(&deployment, "entry-1", "long").await?;
     deployment.node("entry-1")?.signal(Signal::SIGTERM)?;
     let operations = deployment.operations("entry-1")?;
     eventually("the node is not ready", async || {
@@ -95,10 +101,10 @@
     Ok(())
 }
 
-/// A payment that runs when its node is told to stop is answered, and its
-/// answer is not needed a second time.
+/// A payment that runs when its node gets SIGTERM is answered. Sent again
+/// through another node, it does not run a second time.
 #[tokio::test(flavor = "multi_thread")]
-async fn finishes_payments() -> Result<()> {
+async fn finishes_payments_after_sigterm() -> Result<()> {
     let mut deployment = start().await?;
     deployment
         .switch("ledger-1", &json!({"hold": true}))
--- a/node/tests/test_silence.rs
+++ b/node/tests/test_silence.rs
@@ -1,4 +1,4 @@
-//! Connections that go silent for good while new ones work.
+//! Connections that stay open but go silent for good, while new ones work.
 
 use dottereltally_testutils::{
     client::Whole, deployment::Deployment, engine::format, fixture::Fixture, wait::eventually,
@@ -9,7 +9,7 @@
 use serde_json::json;
 
 /// Number of requests that are sent once the connections are silent.
-const REQUESTS: usize = 10;
+const REQUEST_COUNT: usize = 10;
 
 async fn start(engines: usize) -> Result<Deployment> {
     let fixture = Fixture {
@@ -25,10 +25,10 @@
     deployment.chat("entry-1", prompt, 4)?.text().await
 }
 
-/// A stream whose connection falls silent is told as cut, and the engine goes
-/// on serving others on new connections.
+/// A stream whose connection falls silent ends with an error, and the engine
+/// goes on serving others on new connections.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_is_told_as_cut() -> Result<()> {
+async fn a_silent_stream_is_reported_as_cut() -> Result<()> {
     let deployment = start(1).await?;
     let slow = json!({"decode_ms": 20.0});
     deployment.switch("tally-1", &slow).await?;
@@ -42,7 +42,7 @@
     }
     assert!(!text.contains("[DONE]"));
     assert!(text.contains("\"error\""), "{text}");
-    for number in 0..REQUESTS {
+    for number in 0..REQUEST_COUNT {
         let prompt = format!("after {number}");
         eventually("a request is served", async || {
             let answer = chat(&deployment, &prompt).await.ok()?;
@@ -53,19 +53,19 @@
     Ok(())
 }
 
-/// Idle connections fall silent; what is sent on them fails truthfully and
-/// the endpoint stays in use.
+/// Idle connections fall silent. A request that ran is not refused as
+/// "not-run", and the endpoint stays in use.
 #[tokio::test(flavor = "multi_thread")]
-async fn idle_connections() -> Result<()> {
+async fn silent_idle_connections_cause_no_false_refusals() -> Result<()> {
     let deployment = start(1).await?;
-    for number in 0..REQUESTS {
+    for number in 0..REQUEST_COUNT {
         chat(&deployment, &format!("before {number}")).await?;
     }
     deployment
         .switch("tally-1", &json!({"silent": "existing"}))
         .await?;
     let mut served = 0;
-    for number in 0..REQUESTS {
+    for number in 0..REQUEST_COUNT {
         let prompt = format!("after {number}");
         let answer = chat(&deployment, &prompt).await?;
         if answer.status == StatusCode::OK {
@@ -82,15 +82,15 @@
     Ok(())
 }
 
-/// An endpoint whose new connections are silent too is passed by.
+/// An endpoint whose new connections are silent too is avoided.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_whole_endpoint() -> Result<()> {
+async fn a_silent_endpoint_is_avoided() -> Result<()> {
     let deployment = start(2).await?;
     deployment
         .switch("tally-1", &json!({"silent": "all"}))
         .await?;
-    eventually("requests pass the silent endpoint by", async || {
-        for number in 0..REQUESTS {
+    eventually("requests avoid the silent endpoint", async || {
+        for number in 0..REQUEST_COUNT {
             let prompt = format!("probe {number}");
             let answer = chat(&deployment, &prompt).await.ok()?;
             if answer.content() != format::text(&prompt, 4) {
@@ -107,7 +107,7 @@
 #[case("existing")]
 #[case("all")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_payment(#[case] silence: &str) -> Result<()> {
+async fn a_payment_on_a_silent_connection_is_not_sent_again(#[case] silence: &str) -> Result<()> {
     let deployment = start(1).await?;
     deployment
         .switch("ledger-1", &json!({"hold": true}))
