--- a/node/tests/test_observer.rs
+++ b/node/tests/test_observer.rs
@@ -1,4 +1,5 @@
-//! Endpoints are watched through their own pages.
+//! Tests of the observer, which polls the load pages of endpoints and reads
+//! their cache events.
 
 mod common;
 
@@ -26,19 +27,19 @@
     task::JoinHandle,
 };
 
-/// What a fake endpoint answers.
+/// Responses of a fake endpoint.
 #[derive(Clone, Debug, Default)]
 struct Pages {
-    /// Load page; none for no answer at all.
+    /// Load page; `None` leaves requests for it unanswered.
     load: Option<String>,
-    /// Cache events of each stream in turn; a stream that is not the last
-    /// one ends after its events.
+    /// Cache events of each stream, in the order of requests; every stream but
+    /// the last ends after its events.
     streams: Vec<String>,
-    /// Requests for cache events.
-    opened: usize,
+    /// Number of requests for cache events so far.
+    stream_requests: usize,
 }
 
-/// A fake endpoint.
+/// A fake endpoint on a local port.
 struct Endpoint {
     address: String,
     pages: Arc<Mutex<Pages>>,
@@ -88,33 +89,37 @@
             continue;
         }
         let answer = if head.starts_with(b"GET /load ") {
-            load(&pages)
+            load_response(&pages)
         } else {
-            Some(events(&pages))
+            Some(events_response(&pages))
         };
         head.clear();
-        let Some((answer, keep)) = answer else {
-            // A silent endpoint holds the connection open.
+        let Some((answer, keep_open)) = answer else {
+            // A silent endpoint keeps the connection open.
             std::future::pending::<()>().await;
             return;
         };
-        if stream.write_all(answer.as_bytes()).await.is_err() || !keep {
+        if stream.write_all(answer.as_bytes()).await.is_err() || !keep_open {
             return;
         }
     }
 }
 
-fn load(pages: &Mutex<Pages>) -> Option<(String, bool)> {
+/// Returns the response to a request for the load page, and whether the
+/// connection stays open; `None` if the endpoint is silent.
+fn load_response(pages: &Mutex<Pages>) -> Option<(String, bool)> {
     let page = pages.lock().unwrap().load.clone()?;
     let length = page.len();
     let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{page}");
     Some((answer, true))
 }
 
-fn events(pages: &Mutex<Pages>) -> (String, bool) {
+/// Returns the response to a request for cache events, and whether the
+/// connection stays open.
+fn events_response(pages: &Mutex<Pages>) -> (String, bool) {
     let mut pages = pages.lock().unwrap();
-    let index = pages.opened;
-    pages.opened += 1;
+    let index = pages.stream_requests;
+    pages.stream_requests += 1;
     let Some(events) = pages.streams.get(index) else {
         return (
             "HTTP/1.1 404 Not Found\r\ncontent-length: 0\r\n\r\n".to_owned(),
@@ -136,32 +141,32 @@
     }
 }
 
-/// An observer of endpoints.
-struct Watch {
+/// A running observer with its output and its host list.
+struct Observer {
     events: Events,
     metrics: Metrics,
-    list: watch::Sender<Option<Arc<Snapshot>>>,
+    host_list: watch::Sender<Option<Arc<Snapshot>>>,
 }
 
-/// Watches endpoints from the data centre plovdiv.
-fn observe(endpoints: Vec<Record>) -> Watch {
+/// Starts an observer of these endpoints in the data centre plovdiv.
+fn observe(endpoints: Vec<Record>) -> Observer {
     let snapshot = Snapshot {
         entries: Vec::new(),
         endpoints,
     };
-    let (list, hosts): (_, hosts::Receiver) = watch::channel(Some(Arc::new(snapshot)));
+    let (host_list, hosts): (_, hosts::Receiver) = watch::channel(Some(Arc::new(snapshot)));
     let (dispatcher, events) = Dispatcher::new();
     let metrics = Metrics::default();
     observer::spawn("plovdiv".into(), hosts, dispatcher, metrics.clone());
-    Watch {
+    Observer {
         events,
         metrics,
-        list,
+        host_list,
     }
 }
 
-/// Returns the cache events so far.
-fn cached(events: &[Event]) -> Vec<Cache> {
+/// Returns the cache events among these events.
+fn cache_events(events: &[Event]) -> Vec<Cache> {
     let mut caches = Vec::new();
     for event in events {
         if let Event::Cached(_, cache) = event {
@@ -171,15 +176,15 @@
     caches
 }
 
-/// Waits for so many cache events and returns them.
-async fn wait_cached(events: &Events, count: usize) -> Vec<Cache> {
+/// Waits for at least `count` cache events and returns all so far.
+async fn wait_for_cache_events(events: &Events, count: usize) -> Vec<Cache> {
     let mut events = events.clone();
-    let seen = events.wait_for(|events| cached(events).len() >= count);
-    cached(&seen.await.unwrap())
+    let seen = events.wait_for(|events| cache_events(events).len() >= count);
+    cache_events(&seen.await.unwrap())
 }
 
-/// Returns a load page.
-fn page(running: u32, state: &str) -> String {
+/// Formats a load page.
+fn load_page(running: u32, state: &str) -> String {
     format!(
         r#"{{"running": {running}, "waiting": 1, "tokens": 9, "models": ["m"], "state": "{state}"}}"#
     )
@@ -189,15 +194,15 @@
 #[tokio::test]
 async fn the_host_list_and_the_load_pages_reach_the_dispatcher() {
     let endpoint = Endpoint::start(Pages::default()).await;
-    endpoint.set_load(Some(&page(3, "live")));
-    let watch = observe(vec![record(&endpoint)]);
+    endpoint.set_load(Some(&load_page(3, "live")));
+    let observer = observe(vec![record(&endpoint)]);
     let listed = record(&endpoint);
-    wait_for(&watch.events, |event| match event {
+    wait_for(&observer.events, |event| match event {
         Event::Listed(records) => records.contains(&listed),
         _ => false,
     })
     .await;
-    wait_for(&watch.events, |event| match event {
+    wait_for(&observer.events, |event| match event {
         Event::Reported(id, load) => {
             id.as_str() == "tally-1" && load.running == 3 && load.models.contains(&"m".into())
         }
@@ -208,13 +213,16 @@
 
 #[rstest]
 #[tokio::test]
-async fn an_endpoint_says_itself_that_it_leaves() {
+async fn a_leaving_state_on_the_load_page_reaches_the_dispatcher() {
     let endpoint = Endpoint::start(Pages::default()).await;
-    endpoint.set_load(Some(&page(3, "live")));
-    let watch = observe(vec![record(&endpoint)]);
-    wait_for(&watch.events, |event| matches!(event, Event::Reported(..))).await;
-    endpoint.set_load(Some(&page(3, "leaving")));
-    wait_for(&watch.events, |event| match event {
+    endpoint.set_load(Some(&load_page(3, "live")));
+    let observer = observe(vec![record(&endpoint)]);
+    wait_for(&observer.events, |event| {
+        matches!(event, Event::Reported(..))
+    })
+    .await;
+    endpoint.set_load(Some(&load_page(3, "leaving")));
+    wait_for(&observer.events, |event| match event {
         Event::Reported(_, load) => load.standing == Standing::Leaving,
         _ => false,
     })
@@ -229,33 +237,39 @@
 async fn a_bad_load_page_is_counted_and_polled_again(#[case] bad: Option<&str>) {
     let endpoint = Endpoint::start(Pages::default()).await;
     endpoint.set_load(bad);
-    let watch = observe(vec![record(&endpoint)]);
-    while watch.metrics.failures.get() == 0 {
+    let observer = observe(vec![record(&endpoint)]);
+    while observer.metrics.failures.get() == 0 {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    endpoint.set_load(Some(&page(3, "live")));
-    wait_for(&watch.events, |event| matches!(event, Event::Reported(..))).await;
+    endpoint.set_load(Some(&load_page(3, "live")));
+    wait_for(&observer.events, |event| {
+        matches!(event, Event::Reported(..))
+    })
+    .await;
 }
 
 #[rstest]
 #[tokio::test]
-async fn an_endpoint_off_the_list_is_polled_no_more() {
+async fn an_endpoint_removed_from_the_host_list_is_no_longer_polled() {
     let endpoint = Endpoint::start(Pages::default()).await;
-    endpoint.set_load(Some(&page(3, "live")));
-    let watch = observe(vec![record(&endpoint)]);
-    wait_for(&watch.events, |event| matches!(event, Event::Reported(..))).await;
+    endpoint.set_load(Some(&load_page(3, "live")));
+    let observer = observe(vec![record(&endpoint)]);
+    wait_for(&observer.events, |event| {
+        matches!(event, Event::Reported(..))
+    })
+    .await;
     let other = Endpoint::start(Pages::default()).await;
-    other.set_load(Some(&page(5, "live")));
+    other.set_load(Some(&load_page(5, "live")));
     let mut listed = record(&other);
     listed.id = "tally-2".into();
     let snapshot = Snapshot {
         entries: Vec::new(),
         endpoints: vec![listed],
     };
-    watch.list.send_replace(Some(Arc::new(snapshot)));
+    observer.host_list.send_replace(Some(Arc::new(snapshot)));
     let count = |name: &str| {
         let mut count = 0;
-        for event in watch.events.borrow().iter() {
+        for event in observer.events.borrow().iter() {
             count += usize::from(matches!(event, Event::Reported(id, _) if id.as_str() == name));
         }
         count
@@ -272,7 +286,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn cache_events_come_with_their_gaps() {
+async fn cache_events_are_passed_on_and_gaps_are_counted() {
     let stream = concat!(
         ": a comment\n\n",
         "id: 4\ndata: {\"stored\": \"00000000000000ff\"}\n\n",
@@ -282,38 +296,38 @@
         "id: 8\ndata: {\"cleared\": true}\n\n",
     );
     let pages = Pages {
-        load: Some(page(0, "live")),
+        load: Some(load_page(0, "live")),
         streams: vec![stream.to_owned()],
-        opened: 0,
+        stream_requests: 0,
     };
     let endpoint = Endpoint::start(pages).await;
-    let watch = observe(vec![record(&endpoint)]);
+    let observer = observe(vec![record(&endpoint)]);
     let prefix = id::Prefix(255);
     let expected = [
         (1, Change::Stored(prefix)),
         (2, Change::Removed(prefix)),
         (5, Change::Cleared),
     ];
-    let found = wait_cached(&watch.events, 3).await;
+    let found = wait_for_cache_events(&observer.events, 3).await;
     for (cache, (sequence, change)) in found.iter().zip(expected) {
         assert_eq!((cache.sequence, cache.change), (sequence, change));
     }
-    assert_eq!(watch.metrics.gaps.get(), 1);
+    assert_eq!(observer.metrics.gaps.get(), 1);
 }
 
 #[rstest]
 #[tokio::test]
-async fn cache_events_of_a_restarted_endpoint_are_not_taken_for_old_ones() {
+async fn cache_events_of_a_restarted_endpoint_are_not_discarded_as_old() {
     let first = "id: 90\ndata: {\"stored\": \"01\"}\n\n";
     let second = "id: 1\ndata: {\"stored\": \"02\"}\n\n";
     let pages = Pages {
-        load: Some(page(0, "live")),
+        load: Some(load_page(0, "live")),
         streams: vec![first.to_owned(), second.to_owned()],
-        opened: 0,
+        stream_requests: 0,
     };
     let endpoint = Endpoint::start(pages).await;
-    let watch = observe(vec![record(&endpoint)]);
-    let found = wait_cached(&watch.events, 3).await;
+    let observer = observe(vec![record(&endpoint)]);
+    let found = wait_for_cache_events(&observer.events, 3).await;
     let changes: Vec<Change> = found.iter().map(|cache| cache.change).collect();
     let expected = [
         Change::Stored(id::Prefix(1)),
@@ -325,10 +339,10 @@
 }
 
 #[rstest]
-#[case(Some(&*page(0, "live")), true)]
+#[case(Some(&*load_page(0, "live")), true)]
 #[case(None, false)]
 #[tokio::test]
-async fn a_probe_tells_whether_the_endpoint_answers(
+async fn a_probe_reports_whether_the_endpoint_answers(
     #[case] load: Option<&str>,
     #[case] answers: bool,
 ) {
--- a/node/tests/test_peer.rs
+++ b/node/tests/test_peer.rs
@@ -1,4 +1,5 @@
-//! Calls between nodes over real connections, good and bad.
+//! Tests of calls between nodes over real connections, including silent
+//! connections and malformed bytes.
 
 mod common;
 
@@ -18,7 +19,7 @@
 /// Seed of the random bytes.
 const SEED: u64 = 1;
 
-/// One node without a membership.
+/// The peer connections of one node, without a membership.
 struct Node {
     handle: Handle,
     service: Arc<Service>,
@@ -43,12 +44,12 @@
     }
 }
 
-/// Tells a node where another is reached.
-fn introduce(node: &Node, other: &str, address: &str) {
+/// Makes a node at this address the only peer of `node`.
+fn set_peer(node: &Node, other: &str, address: &str) {
     node.handle.update(vec![(other.into(), address.to_owned())]);
 }
 
-/// Returns a demand that can be told by its number of requests.
+/// Returns a demand that is identified by its number of requests.
 fn demand(requests: u32) -> event::Message {
     event::Message::Demand(vec![event::Demand {
         service: "drafter".into(),
@@ -58,8 +59,8 @@
     }])
 }
 
-/// Returns the number that `demand` put in.
-fn number(message: &event::Message) -> u32 {
+/// Returns the number of requests of a message that `demand` built.
+fn request_count(message: &event::Message) -> u32 {
     match message {
         event::Message::Demand(demands) => demands[0].requests,
         _ => panic!("not a demand"),
@@ -77,9 +78,9 @@
     body: vec![0, 1, 255],
 }))]
 #[tokio::test]
-async fn an_answer_arrives_as_it_was_kept(#[case] answer: Answer) {
+async fn the_answer_of_an_attempt_arrives_unchanged(#[case] answer: Answer) {
     let (a, b) = (start("a"), start("b"));
-    introduce(&a, "b", &b.address);
+    set_peer(&a, "b", &b.address);
     let key = ("claim".to_owned(), "token".to_owned());
     b.service
         .answers
@@ -92,7 +93,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_node_that_is_not_known_is_not_live() {
+async fn a_call_to_an_unknown_node_fails_as_not_live() {
     let a = start("a");
     let got = a.handle.answer(&"b".into(), "claim", "token").await;
     assert_eq!(got, Err(Error::NotLive("b".into())));
@@ -100,9 +101,9 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_configuration_comes_only_from_a_peer_that_is_ahead() {
+async fn a_configuration_comes_only_from_a_peer_with_a_higher_generation() {
     let (a, b) = (start("a"), start("b"));
-    introduce(&a, "b", &b.address);
+    set_peer(&a, "b", &b.address);
     b.service.set_generation(3);
     let got = a.handle.configuration(id::Generation(2)).await;
     assert_eq!(got, Some(common::record(3)));
@@ -111,9 +112,9 @@
 
 #[rstest]
 #[tokio::test]
-async fn admission_messages_arrive_whole_and_in_order() {
+async fn admission_messages_arrive_complete_and_in_order() {
     let (a, mut b) = (start("a"), start("b"));
-    introduce(&a, "b", &b.address);
+    set_peer(&a, "b", &b.address);
     let grant = event::Grant {
         endpoint: "tally-1".into(),
         tier: id::Tier(2),
@@ -137,7 +138,7 @@
 #[tokio::test]
 async fn one_connection_serves_many_calls() {
     let (a, b) = (start("a"), start("b"));
-    introduce(&a, "b", &b.address);
+    set_peer(&a, "b", &b.address);
     for _ in 0..20 {
         a.handle
             .answer(&"b".into(), "claim", "token")
@@ -147,21 +148,22 @@
     assert_eq!(a.metrics.opened.get(), 1);
 }
 
-/// Passes connections on, and silences those that are open when told to.
+/// Forwards connections to `target`; a change of `silence` stops the forwarding
+/// on the connections that are open.
 async fn proxy(listener: Listener, target: String, silence: watch::Receiver<bool>) {
     loop {
-        let (mut near, _) = listener.accept().await.unwrap();
-        let mut far = TcpStream::connect(&target).await.unwrap();
+        let (mut inbound, _) = listener.accept().await.unwrap();
+        let mut outbound = TcpStream::connect(&target).await.unwrap();
         let mut silence = silence.clone();
         silence.mark_unchanged();
         tokio::spawn(async move {
             tokio::select! {
                 biased;
                 _ = silence.changed() => {
-                    // Both ends stay open and nothing passes any more.
+                    // Both ends stay open, but nothing is forwarded any more.
                     std::future::pending::<()>().await;
                 }
-                _ = copy_bidirectional(&mut near, &mut far) => {}
+                _ = copy_bidirectional(&mut inbound, &mut outbound) => {}
             }
         });
     }
@@ -169,10 +171,10 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_silent_connection_is_replaced_before_the_peer_is_given_up() {
+async fn a_silent_connection_is_replaced_before_the_call_fails() {
     let (a, b) = (start("a"), start("b"));
     let listener = Listener::bind("127.0.0.1:0").await.unwrap();
-    introduce(&a, "b", &listener.local_addr().unwrap().to_string());
+    set_peer(&a, "b", &listener.local_addr().unwrap().to_string());
     let (silence, silenced) = watch::channel(false);
     let proxy = tokio::spawn(proxy(listener, b.address.clone(), silenced));
     a.handle
@@ -194,11 +196,11 @@
 async fn a_message_on_a_silent_connection_is_lost_and_not_sent_twice() {
     let (a, mut b) = (start("a"), start("b"));
     let listener = Listener::bind("127.0.0.1:0").await.unwrap();
-    introduce(&a, "b", &listener.local_addr().unwrap().to_string());
+    set_peer(&a, "b", &listener.local_addr().unwrap().to_string());
     let (silence, silenced) = watch::channel(false);
     let proxy = tokio::spawn(proxy(listener, b.address.clone(), silenced));
     a.handle.send(&"b".into(), demand(1));
-    assert_eq!(number(&b.messages.recv().await.unwrap().1), 1);
+    assert_eq!(request_count(&b.messages.recv().await.unwrap().1), 1);
     // The reply to the message comes before the reply to this call.
     a.handle
         .answer(&"b".into(), "claim", "token")
@@ -207,48 +209,48 @@
     silence.send(true).unwrap();
     a.handle.send(&"b".into(), demand(2));
     a.handle.send(&"b".into(), demand(3));
-    assert_eq!(number(&b.messages.recv().await.unwrap().1), 3);
+    assert_eq!(request_count(&b.messages.recv().await.unwrap().1), 3);
     assert_eq!(a.metrics.lost.get(), 1);
     proxy.abort();
 }
 
 #[rstest]
 #[tokio::test]
-async fn a_peer_that_does_not_keep_up_loses_the_oldest_messages() {
+async fn the_oldest_messages_to_a_slow_peer_are_dropped() {
     let (a, mut b) = (start("a"), start("b"));
     let listener = Listener::bind("127.0.0.1:0").await.unwrap();
-    introduce(&a, "b", &listener.local_addr().unwrap().to_string());
+    set_peer(&a, "b", &listener.local_addr().unwrap().to_string());
     a.handle.send(&"b".into(), demand(0));
-    // The first message is under way on a connection that goes nowhere yet.
-    let (mut near, _) = listener.accept().await.unwrap();
+    // The first message is in flight on a connection that nobody reads yet.
+    let (mut inbound, _) = listener.accept().await.unwrap();
     for requests in 1..=1000 {
         a.handle.send(&"b".into(), demand(requests));
     }
     assert!(a.metrics.dropped.get() > 0);
     let target = b.address.clone();
     let relay = tokio::spawn(async move {
-        let mut far = TcpStream::connect(&target).await.unwrap();
+        let mut outbound = TcpStream::connect(&target).await.unwrap();
         // Either end may close first.
-        let _ = copy_bidirectional(&mut near, &mut far).await;
+        let _ = copy_bidirectional(&mut inbound, &mut outbound).await;
     });
     let mut last = 0;
     while last != 1000 {
-        let next = number(&b.messages.recv().await.unwrap().1);
+        let next = request_count(&b.messages.recv().await.unwrap().1);
         assert!(next >= last, "{next} after {last}");
         last = next;
     }
     relay.abort();
 }
 
-/// Returns bytes that are no message: random ones, huge announcements and
-/// sound beginnings that break off.
+/// Returns bytes that are not a valid message: random bytes, headers that
+/// announce huge sizes, and valid headers followed by random bytes.
 fn garbage(random: &mut SmallRng) -> Vec<u8> {
     let mut bytes = match random.random_range(0..4) {
-        // So many segments.
+        // Header with the largest number of segments.
         0 => u32::MAX.to_le_bytes().to_vec(),
-        // One segment of so many words.
+        // Header with one segment of the largest size.
         1 => [0_u32.to_le_bytes(), u32::MAX.to_le_bytes()].concat(),
-        // One segment of 16 words, of which some follow.
+        // Header with one segment of 16 words.
         2 => [0_u32.to_le_bytes(), 16_u32.to_le_bytes()].concat(),
         _ => Vec::new(),
     };
@@ -260,9 +262,9 @@
 
 #[rstest]
 #[tokio::test]
-async fn bad_bytes_of_a_peer_leave_the_node_serving() {
+async fn malformed_bytes_from_a_peer_do_not_stop_the_node() {
     let (a, b) = (start("a"), start("b"));
-    introduce(&a, "b", &b.address);
+    set_peer(&a, "b", &b.address);
     let mut random = SmallRng::seed_from_u64(SEED);
     for round in 0..300 {
         let mut stream = TcpStream::connect(&b.address).await.unwrap();
@@ -270,7 +272,7 @@
         let _ = stream.write_all(&garbage(&mut random)).await;
         let _ = stream.shutdown().await;
         let mut rest = Vec::new();
-        // A reset is as good an end as a close.
+        // The node may reset the connection instead of closing it.
         let _ = stream.read_to_end(&mut rest).await;
         if round % 50 == 0 {
             let answer = a.handle.answer(&"b".into(), "claim", "token").await;
@@ -284,7 +286,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn bad_bytes_in_place_of_a_reply_fail_the_call_only() {
+async fn a_malformed_reply_fails_only_its_call() {
     let (a, b) = (start("a"), start("b"));
     let listener = Listener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -292,7 +294,7 @@
         ("bad".into(), address),
         ("b".into(), b.address.clone()),
     ]);
-    let liar = tokio::spawn(async move {
+    let bad_peer = tokio::spawn(async move {
         let mut random = SmallRng::seed_from_u64(SEED);
         loop {
             let (mut stream, _) = listener.accept().await.unwrap();
@@ -306,5 +308,5 @@
     }
     let answer = a.handle.answer(&"b".into(), "claim", "token").await;
     assert_eq!(answer, Ok(Answer::Unknown), "seed {SEED}");
-    liar.abort();
+    bad_peer.abort();
 }
