--- a/node/tests/test_platform.rs
+++ b/node/tests/test_platform.rs
@@ -1,4 +1,5 @@
-//! Claims and configuration over the stand-in of the key-value service.
+//! Tests of claims and configuration against the stand-in for the key-value
+//! service, which loses requests and answers or falls silent.
 
 #[path = "../examples/claim_runs/simulation/network.rs"]
 mod network;
@@ -30,15 +31,18 @@
 use serde_json::json;
 use tokio::time::Instant;
 
-const TIMEOUT: Duration = Duration::from_millis(300);
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Time limit of one call to the key-value service.
+const STORE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Limit of each step of a claim, long enough to outlast the faults.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(30);
 
-struct World {
+/// The stand-in for the key-value service and the network between nodes.
+struct Platform {
     kv: Addresses,
     network: Network,
 }
 
-impl World {
+impl Platform {
     async fn new() -> Result<Self> {
         Ok(Self {
             kv: server::start(Kv::start(), "127.0.0.1:0".parse()?).await?,
@@ -47,7 +51,7 @@
     }
 
     fn store(&self) -> Store {
-        Store::new(vec![self.kv.address.to_string()], TIMEOUT)
+        Store::new(vec![self.kv.address.to_string()], STORE_TIMEOUT)
     }
 
     fn keeper(&self, name: &str) -> Keeper<Store, Network> {
@@ -55,13 +59,14 @@
         let node = id::Node::from(name);
         self.network.route(&node, Some(attempts.clone()));
         let limits = Limits {
-            settle: PATIENCE,
-            wait: PATIENCE,
-            release: PATIENCE,
+            settle: CLAIM_TIMEOUT,
+            wait: CLAIM_TIMEOUT,
+            release: CLAIM_TIMEOUT,
         };
         Keeper::start(node, self.store(), self.network.clone(), attempts, limits)
     }
 
+    /// Sets fault switches of the key-value service.
     async fn set(&self, change: serde_json::Value) -> Result<()> {
         switch(&self.kv.control.to_string(), &change).await
     }
@@ -73,11 +78,12 @@
         service: id::Service::from("ledger"),
         key: "pay-1".to_owned(),
     };
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + CLAIM_TIMEOUT;
     keeper.acquire(scope, id::Fingerprint(7), deadline).await
 }
 
-fn paid() -> Response {
+/// Returns the response of a payment.
+fn payment_response() -> Response {
     Response {
         status: 200,
         content_type: "text/plain".to_owned(),
@@ -91,32 +97,37 @@
 #[case::requests_lost(json!({"lose_requests": 2}))]
 #[case::connections_silent(json!({"silent": "existing"}))]
 #[tokio::test]
-async fn a_claim_is_taken_and_given_back_once(#[case] fault: serde_json::Value) -> Result<()> {
-    let world = World::new().await?;
-    let (a, b) = (world.keeper("a"), world.keeper("b"));
+async fn a_claim_is_acquired_released_and_replayed_despite_faults(
+    #[case] fault: serde_json::Value,
+) -> Result<()> {
+    let platform = Platform::new().await?;
+    let (a, b) = (platform.keeper("a"), platform.keeper("b"));
     acquire(&a).await?.release().await?;
-    world.set(fault.clone()).await?;
+    platform.set(fault.clone()).await?;
     let held = acquire(&a).await?;
-    world.set(fault.clone()).await?;
+    platform.set(fault.clone()).await?;
     held.release().await?;
-    let claims = world.store().list(layout::CLAIMS, 10).await?;
+    let claims = platform.store().list(layout::CLAIMS, 10).await?;
     assert!(claims.is_empty(), "{claims:?}");
     let dispatched = acquire(&a).await?.dispatch()?;
-    world.set(fault).await?;
-    dispatched.complete(paid());
-    assert_eq!(acquire(&b).await.err(), Some(Lost::Replay(paid())));
+    platform.set(fault).await?;
+    dispatched.complete(payment_response());
+    assert_eq!(
+        acquire(&b).await.err(),
+        Some(Lost::Replay(payment_response()))
+    );
     Ok(())
 }
 
 #[tokio::test]
-async fn an_outage_refuses_claims_and_its_end_allows_them() -> Result<()> {
-    let world = World::new().await?;
-    let keeper = world.keeper("a");
+async fn claims_fail_during_an_outage_and_succeed_after_it() -> Result<()> {
+    let platform = Platform::new().await?;
+    let keeper = platform.keeper("a");
     acquire(&keeper).await?.release().await?;
-    world.set(json!({"down": true})).await?;
+    platform.set(json!({"down": true})).await?;
     let lost = acquire(&keeper).await.err();
     assert!(matches!(lost, Some(Lost::Away { .. })), "{lost:?}");
-    world.set(json!({"down": false})).await?;
+    platform.set(json!({"down": false})).await?;
     eventually("the service is back", async || {
         keeper.is_available().then_some(())
     })
@@ -130,13 +141,13 @@
 #[case::watch_silent(json!({"watch_silent": true}))]
 #[case::connections_silent(json!({"silent": "existing"}))]
 #[tokio::test]
-async fn a_change_comes_into_force(#[case] fault: serde_json::Value) -> Result<()> {
-    let world = World::new().await?;
+async fn a_configuration_change_takes_effect(#[case] fault: serde_json::Value) -> Result<()> {
+    let platform = Platform::new().await?;
     let handle = Handle::default();
     let (actor, _task) = Controller::start(Arguments {
         handle: handle.clone(),
-        store: world.store(),
-        peers: world.network.clone(),
+        store: platform.store(),
+        peers: platform.network.clone(),
         counters: Counters::default(),
     })
     .await?;
@@ -161,7 +172,7 @@
             success: vec![Operation::Put(key, value, None)],
             failure: Vec::new(),
         };
-        assert!(world.store().transact(write).await?.succeeded);
+        assert!(platform.store().transact(write).await?.succeeded);
         receiver
             .wait_for(|current| {
                 current
@@ -169,7 +180,7 @@
                     .is_some_and(|current| current.record == record)
             })
             .await?;
-        world.set(fault.clone()).await?;
+        platform.set(fault.clone()).await?;
     }
     actor.stop(None);
     Ok(())
--- a/node/tests/test_pool.rs
+++ b/node/tests/test_pool.rs
@@ -1,5 +1,5 @@
-//! Connections to endpoints: what is reused, and what proves that nothing
-//! was handed over.
+//! Tests of the connection pool: which connections are reused, and which
+//! failures prove that nothing was sent.
 
 use std::net::SocketAddr;
 
@@ -17,52 +17,52 @@
     sync::mpsc,
 };
 
-const WHOLE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
-const HALF: &str = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nok";
+const COMPLETE_RESPONSE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+const TRUNCATED_RESPONSE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\nok";
 
-/// What an endpoint saw, in order.
+/// What an endpoint observes.
 #[derive(Debug, PartialEq, Eq)]
-enum Seen {
+enum Event {
     /// A connection was opened.
     Opened,
-    /// A request's head came.
+    /// The head of a request was received.
     Request,
-    /// The connection was closed by the other side.
+    /// The connection was closed by the client.
     Closed,
 }
 
-/// An endpoint that gives one answer to every request.
+/// A fake endpoint that gives the same answer to every request.
 struct Endpoint {
     address: String,
-    seen: mpsc::UnboundedReceiver<Seen>,
+    events: mpsc::UnboundedReceiver<Event>,
 }
 
 impl Endpoint {
     async fn start(answer: &'static str) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address").to_string();
-        let (sender, seen) = mpsc::unbounded_channel();
+        let (sender, events) = mpsc::unbounded_channel();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 tokio::spawn(serve(stream, answer, sender.clone()));
             }
         });
-        Self { address, seen }
+        Self { address, events }
     }
 
-    async fn next(&mut self) -> Seen {
-        self.seen.recv().await.expect("the endpoint runs")
+    async fn next(&mut self) -> Event {
+        self.events.recv().await.expect("the endpoint runs")
     }
 }
 
-/// Answers each request on a connection; an empty answer ends it.
-async fn serve(mut stream: TcpStream, answer: &str, seen: mpsc::UnboundedSender<Seen>) {
-    let _ = seen.send(Seen::Opened);
+/// Answers each request on a connection; an empty answer closes it.
+async fn serve(mut stream: TcpStream, answer: &str, events: mpsc::UnboundedSender<Event>) {
+    let _ = events.send(Event::Opened);
     let mut head = Vec::new();
     loop {
         let mut byte = [0];
         if stream.read_exact(&mut byte).await.is_err() {
-            let _ = seen.send(Seen::Closed);
+            let _ = events.send(Event::Closed);
             return;
         }
         head.push(byte[0]);
@@ -70,7 +70,7 @@
             continue;
         }
         head.clear();
-        let _ = seen.send(Seen::Request);
+        let _ = events.send(Event::Request);
         if answer.is_empty() || stream.write_all(answer.as_bytes()).await.is_err() {
             return;
         }
@@ -85,68 +85,75 @@
 }
 
 async fn get(pool: &Pool, address: &str, reuse: Reuse) -> Bytes {
-    let response = pool.send(address, message(), reuse).await.expect("a head");
-    let body = response.into_body().collect().await.expect("a body");
+    let response = pool
+        .send(address, message(), reuse)
+        .await
+        .expect("the head of a response");
+    let body = response
+        .into_body()
+        .collect()
+        .await
+        .expect("a complete body");
     body.to_bytes()
 }
 
 #[tokio::test]
 async fn reuses_a_connection_whose_answer_was_read_to_its_end() {
-    let mut endpoint = Endpoint::start(WHOLE).await;
+    let mut endpoint = Endpoint::start(COMPLETE_RESPONSE).await;
     let pool = Pool::default();
     for _ in 0..2 {
         assert_eq!(get(&pool, &endpoint.address, Reuse::Idle).await, "ok");
     }
-    assert_eq!(endpoint.next().await, Seen::Opened);
-    assert_eq!(endpoint.next().await, Seen::Request);
-    assert_eq!(endpoint.next().await, Seen::Request);
+    assert_eq!(endpoint.next().await, Event::Opened);
+    assert_eq!(endpoint.next().await, Event::Request);
+    assert_eq!(endpoint.next().await, Event::Request);
 }
 
 #[tokio::test]
-async fn opens_a_connection_for_what_may_not_be_repeated() {
-    let mut endpoint = Endpoint::start(WHOLE).await;
+async fn opens_a_new_connection_if_reuse_is_forbidden() {
+    let mut endpoint = Endpoint::start(COMPLETE_RESPONSE).await;
     let pool = Pool::default();
     get(&pool, &endpoint.address, Reuse::Idle).await;
     get(&pool, &endpoint.address, Reuse::Never).await;
-    assert_eq!(endpoint.next().await, Seen::Opened);
-    assert_eq!(endpoint.next().await, Seen::Request);
-    assert_eq!(endpoint.next().await, Seen::Opened);
-    assert_eq!(endpoint.next().await, Seen::Request);
+    assert_eq!(endpoint.next().await, Event::Opened);
+    assert_eq!(endpoint.next().await, Event::Request);
+    assert_eq!(endpoint.next().await, Event::Opened);
+    assert_eq!(endpoint.next().await, Event::Request);
 }
 
 #[tokio::test]
 async fn closes_a_connection_whose_answer_was_dropped() {
-    let mut endpoint = Endpoint::start(HALF).await;
+    let mut endpoint = Endpoint::start(TRUNCATED_RESPONSE).await;
     let pool = Pool::default();
     let response = pool.send(&endpoint.address, message(), Reuse::Idle).await;
-    let mut body = response.expect("a head").into_body();
+    let mut body = response.expect("the head of a response").into_body();
     let frame = body.frame().await.expect("a frame").expect("data");
     assert_eq!(frame.into_data().expect("data"), "ok");
     drop(body);
-    assert_eq!(endpoint.next().await, Seen::Opened);
-    assert_eq!(endpoint.next().await, Seen::Request);
-    assert_eq!(endpoint.next().await, Seen::Closed);
+    assert_eq!(endpoint.next().await, Event::Opened);
+    assert_eq!(endpoint.next().await, Event::Request);
+    assert_eq!(endpoint.next().await, Event::Closed);
 }
 
 #[tokio::test]
-async fn closes_the_connection_of_a_request_that_is_given_up() {
+async fn closes_the_connection_of_a_cancelled_request() {
     let mut endpoint = Endpoint::start("HTTP/1.1 ").await;
     let pool = Pool::default();
     let address = endpoint.address.clone();
     let sending =
         tokio::spawn(async move { pool.send(&address, message(), Reuse::Idle).await.is_ok() });
-    assert_eq!(endpoint.next().await, Seen::Opened);
-    assert_eq!(endpoint.next().await, Seen::Request);
+    assert_eq!(endpoint.next().await, Event::Opened);
+    assert_eq!(endpoint.next().await, Event::Request);
     sending.abort();
-    assert_eq!(endpoint.next().await, Seen::Closed);
+    assert_eq!(endpoint.next().await, Event::Closed);
 }
 
 #[rstest]
 #[case(Reuse::Idle)]
 #[case(Reuse::Never)]
 #[tokio::test]
-async fn hands_the_message_back_if_nobody_listens(#[case] reuse: Reuse) {
-    let free = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+async fn returns_the_message_if_nothing_listens(#[case] reuse: Reuse) {
+    let free = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address: SocketAddr = free.local_addr().expect("an address");
     drop(free);
     let failure = Pool::default()
@@ -160,7 +167,7 @@
 }
 
 #[tokio::test]
-async fn does_not_call_a_request_unsent_that_was_read() {
+async fn does_not_report_a_request_as_unsent_that_was_read() {
     let endpoint = Endpoint::start("").await;
     let failure = Pool::default()
         .send(&endpoint.address, message(), Reuse::Idle)
@@ -170,17 +177,20 @@
 }
 
 #[tokio::test]
-async fn tells_an_answer_that_ends_early() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+async fn reports_a_truncated_answer() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("an address").to_string();
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let mut buffer = [0; 1024];
         let read = stream.read(&mut buffer).await.expect("a request");
         assert!(read > 0);
-        stream.write_all(HALF.as_bytes()).await.expect("room");
+        stream
+            .write_all(TRUNCATED_RESPONSE.as_bytes())
+            .await
+            .expect("the answer is written");
     });
     let response = Pool::default().send(&address, message(), Reuse::Idle).await;
-    let body = response.expect("a head").into_body();
+    let body = response.expect("the head of a response").into_body();
     assert!(body.collect().await.is_err());
 }
--- a/node/tests/test_server.rs
+++ b/node/tests/test_server.rs
@@ -1,4 +1,5 @@
-//! The server towards callers: limits, cut answers and the end of serving.
+//! Tests of the HTTP server for callers: limits, truncated answers and graceful
+//! shutdown.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -30,20 +31,25 @@
     write_timeout: Duration::from_millis(100),
 };
 
-/// Bytes of one frame of an endless answer.
+/// Size of one frame of an endless answer.
 const FRAME_BYTES: usize = 64 * 1024;
 
-/// A server and what ends it.
-struct Bench {
+/// A running server whose handler the test observes and controls.
+struct Server {
     address: SocketAddr,
+    /// Starts a graceful shutdown.
     drain: watch::Sender<bool>,
+    /// Ends with the server.
     serving: JoinHandle<()>,
+    /// Gets a message for each request that reaches the handler.
     entered: mpsc::UnboundedReceiver<()>,
+    /// Lets the handler answer a request for `/gated`.
     gate: std::sync::Arc<Notify>,
+    /// Gets a message for each answer that is dropped.
     dropped: mpsc::UnboundedReceiver<()>,
 }
 
-/// Reports its own end.
+/// Sends a message when it is dropped.
 struct Guard(mpsc::UnboundedSender<()>);
 
 impl Drop for Guard {
@@ -52,6 +58,7 @@
     }
 }
 
+/// Returns the answer to a request for this path.
 fn answer(path: &str, guard: Guard) -> Response<Body> {
     let frame = Bytes::from(vec![b'x'; FRAME_BYTES]);
     match path {
@@ -70,17 +77,17 @@
     }
 }
 
-impl Bench {
+impl Server {
     async fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
         let drain = watch::Sender::new(false);
         let (entering, entered) = mpsc::unbounded_channel();
         let (dropping, dropped) = mpsc::unbounded_channel();
         let gate = std::sync::Arc::new(Notify::new());
-        let opening = gate.clone();
+        let handler_gate = gate.clone();
         let handler = move |request: Request<Incoming>| {
-            let (entering, gate) = (entering.clone(), opening.clone());
+            let (entering, gate) = (entering.clone(), handler_gate.clone());
             let guard = Guard(dropping.clone());
             async move {
                 let _ = entering.send(());
@@ -130,21 +137,25 @@
 
 #[rstest]
 #[tokio::test]
-async fn serves_both_versions(#[values(1, 2)] version: u8) {
-    let bench = Bench::start().await;
-    let response = send(bench.connect().await, version, "/").await;
+async fn serves_both_http_versions(#[values(1, 2)] version: u8) {
+    let server = Server::start().await;
+    let response = send(server.connect().await, version, "/").await;
     let response = response.expect("an answer");
     assert_eq!(response.status(), StatusCode::OK);
-    let body = response.into_body().collect().await.expect("whole");
+    let body = response
+        .into_body()
+        .collect()
+        .await
+        .expect("a complete body");
     assert_eq!(body.to_bytes(), "whole");
 }
 
 #[rstest]
 #[tokio::test]
-async fn a_cut_answer_can_t_be_taken_as_whole(#[values(1, 2)] version: u8) {
-    let bench = Bench::start().await;
-    let response = send(bench.connect().await, version, "/cut").await;
-    // The connection may end before the head has left.
+async fn a_truncated_answer_is_not_taken_as_complete(#[values(1, 2)] version: u8) {
+    let server = Server::start().await;
+    let response = send(server.connect().await, version, "/cut").await;
+    // The connection may end before the head is sent.
     let Ok(response) = response else {
         return;
     };
@@ -153,33 +164,45 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_request_in_flight_is_finished(#[values(1, 2)] version: u8) {
-    let mut bench = Bench::start().await;
-    let sending = tokio::spawn(send(bench.connect().await, version, "/gated"));
-    bench.entered.recv().await.expect("the request came");
-    bench.drain.send_replace(true);
-    while TcpStream::connect(bench.address).await.is_ok() {
+async fn a_draining_server_finishes_a_request_in_flight(#[values(1, 2)] version: u8) {
+    let mut server = Server::start().await;
+    let sending = tokio::spawn(send(server.connect().await, version, "/gated"));
+    server
+        .entered
+        .recv()
+        .await
+        .expect("the request reaches the handler");
+    server.drain.send_replace(true);
+    while TcpStream::connect(server.address).await.is_ok() {
         tokio::task::yield_now().await;
     }
-    assert!(!bench.serving.is_finished());
-    bench.gate.notify_one();
+    assert!(!server.serving.is_finished());
+    server.gate.notify_one();
     let response = sending.await.expect("no panic").expect("an answer");
-    let body = response.into_body().collect().await.expect("whole");
+    let body = response
+        .into_body()
+        .collect()
+        .await
+        .expect("a complete body");
     assert_eq!(body.to_bytes(), "whole");
-    bench.serving.await.expect("serving ends");
+    server.serving.await.expect("serving ends");
 }
 
 #[tokio::test]
 async fn a_draining_server_closes_idle_connections() {
-    let bench = Bench::start().await;
-    let (mut sender, connection) = http1::handshake(TokioIo::new(bench.connect().await))
+    let server = Server::start().await;
+    let (mut sender, connection) = http1::handshake(TokioIo::new(server.connect().await))
         .await
         .expect("a connection");
     let connection = tokio::spawn(connection);
     let response = sender.send_request(request("/")).await.expect("an answer");
-    response.into_body().collect().await.expect("whole");
-    bench.drain.send_replace(true);
-    bench.serving.await.expect("serving ends");
+    response
+        .into_body()
+        .collect()
+        .await
+        .expect("a complete body");
+    server.drain.send_replace(true);
+    server.serving.await.expect("serving ends");
     let _ = connection.await.expect("no panic");
     assert!(sender.is_closed());
 }
@@ -189,19 +212,22 @@
 #[case::half_a_preface("PRI * HT")]
 #[case::half_a_head("GET / HTTP/1.1\r\nhost: no")]
 #[tokio::test]
-async fn a_slow_sender_is_cut_off(#[case] start: &str) {
-    let bench = Bench::start().await;
-    let mut stream = bench.connect().await;
-    stream.write_all(start.as_bytes()).await.expect("room");
+async fn a_slow_sender_is_disconnected(#[case] start: &str) {
+    let server = Server::start().await;
+    let mut stream = server.connect().await;
+    stream
+        .write_all(start.as_bytes())
+        .await
+        .expect("the request is written");
     let mut rest = Vec::new();
     let _ = stream.read_to_end(&mut rest).await;
     assert!(!rest.starts_with(b"HTTP/1.1 200"));
 }
 
 #[tokio::test]
-async fn a_head_without_end_is_refused() {
-    let bench = Bench::start().await;
-    let mut stream = bench.connect().await;
+async fn an_oversized_head_is_refused() {
+    let server = Server::start().await;
+    let mut stream = server.connect().await;
     let head = format!("GET / HTTP/1.1\r\nx: {}\r\n\r\n", "x".repeat(64 * 1024));
     let _ = stream.write_all(head.as_bytes()).await;
     let mut start = [0; 12];
@@ -210,10 +236,13 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_does_not_read_is_cut_off() {
-    let mut bench = Bench::start().await;
-    let mut stream = bench.connect().await;
+async fn a_caller_that_does_not_read_is_disconnected() {
+    let mut server = Server::start().await;
+    let mut stream = server.connect().await;
     let head = "GET /endless HTTP/1.1\r\nhost: node\r\n\r\n";
-    stream.write_all(head.as_bytes()).await.expect("room");
-    bench.dropped.recv().await.expect("the answer is dropped");
+    stream
+        .write_all(head.as_bytes())
+        .await
+        .expect("the request is written");
+    server.dropped.recv().await.expect("the answer is dropped");
 }
--- a/node/tests/test_settings.rs
+++ b/node/tests/test_settings.rs
@@ -1,11 +1,13 @@
-//! Settings files: values, defaults, overrides and every fault at once.
+//! Tests of settings files: values, defaults, overrides from the environment
+//! and reports of all faults at once.
 
 use std::{path::Path, time::Duration};
 
 use dottereltally::settings::{Format, Settings, wire};
 use rstest::rstest;
 
-const WHOLE: &str = r#"
+/// Settings with every field.
+const ALL_SETTINGS: &str = r#"
 node: entry-1
 data_centre: plovdiv
 listen: {callers: "127.0.0.1:1", peers: "127.0.0.1:2", operations: "127.0.0.1:3"}
@@ -15,7 +17,8 @@
 log: {format: text, level: warn}
 "#;
 
-const LEAST: &str = r#"
+/// Settings with only the required fields.
+const REQUIRED_SETTINGS: &str = r#"
 node: entry-1
 data_centre: plovdiv
 listen: {callers: "127.0.0.1:1", peers: "127.0.0.1:2", operations: "127.0.0.1:3"}
@@ -38,7 +41,7 @@
 
 #[test]
 fn reads_every_value() {
-    let settings = parse(WHOLE).expect("valid settings");
+    let settings = parse(ALL_SETTINGS).expect("valid settings");
     assert_eq!(settings.node.as_str(), "entry-1");
     assert_eq!(settings.data_centre.as_str(), "plovdiv");
     assert_eq!(settings.listen.peers, "127.0.0.1:2");
@@ -55,13 +58,13 @@
 #[rstest]
 #[case(include_str!("../../examples/settings-balkan.yaml"))]
 #[case(include_str!("../../examples/settings-bulu-mata.yaml"))]
-fn reads_the_samples(#[case] content: &str) {
+fn reads_the_example_files(#[case] content: &str) {
     assert!(parse(content).is_ok(), "{:?}", parse(content));
 }
 
 #[test]
 fn fills_in_defaults() {
-    let settings = parse(LEAST).expect("valid settings");
+    let settings = parse(REQUIRED_SETTINGS).expect("valid settings");
     assert_eq!(settings.limits.head, 16 * 1024);
     assert_eq!(settings.limits.body, 4 * 1024 * 1024);
     assert_eq!(settings.limits.body_timeout, Duration::from_secs(30));
@@ -80,7 +83,7 @@
         };
         Some(value.to_owned())
     };
-    let settings = wire::parse(Path::new("node.yaml"), LEAST, &environment);
+    let settings = wire::parse(Path::new("node.yaml"), REQUIRED_SETTINGS, &environment);
     let settings = settings.expect("valid settings");
     assert_eq!(settings.listen.callers, "127.0.0.1:11");
     assert_eq!(settings.listen.peers, "127.0.0.1:2");
@@ -89,7 +92,7 @@
 }
 
 #[test]
-fn tells_every_fault_with_its_line() {
+fn reports_every_fault_with_its_line() {
     let content = r#"data_centre: "a b"
 listen:
   callers: localhost
@@ -127,10 +130,10 @@
 }
 
 #[rstest]
-#[case::no_yaml("node: a\nlisten: {\n", Some(2))]
-#[case::wrong_kind("node: {a: b}\n", Some(1))]
-#[case::wrong_section("node: a\nlisten: 3\n", Some(2))]
-fn tells_where_the_file_is_no_settings_file(#[case] content: &str, #[case] line: Option<u64>) {
+#[case::not_yaml("node: a\nlisten: {\n", Some(2))]
+#[case::wrong_type("node: {a: b}\n", Some(1))]
+#[case::wrong_section_type("node: a\nlisten: 3\n", Some(2))]
+fn reports_the_line_of_a_syntax_or_type_error(#[case] content: &str, #[case] line: Option<u64>) {
     let found = faults(content);
     assert_eq!(found.len(), 1, "{found:?}");
     assert_eq!(found[0].0, line, "{found:?}");
