--- a/gateway/src/chain.rs
+++ b/gateway/src/chain.rs
@@ -256,7 +256,7 @@
             let refused = Refused::unsent(
                 StatusCode::SERVICE_UNAVAILABLE,
                 Reason::Core(refusal::Reason::NoEndpoint),
-                "no target of the route has a weight; give one of them a weight",
+                "the route leads to no service; give one of its targets a weight",
             );
             refused.with_retry_after(DEFAULT_RETRY_AFTER)
         })?;
