--- a/gateway/src/coordinator/link.rs
+++ b/gateway/src/coordinator/link.rs
@@ -25,7 +25,7 @@
     beat::{length, write_loads},
     coordinator::wire,
     directory::Node,
-    exchange,
+    rpc,
 };
 
 /// Timeout for connecting to a coordinator, and for its first answer; a round
@@ -55,7 +55,7 @@
 pub enum Failure {
     /// It can't be called.
     #[error(transparent)]
-    Unreachable(#[from] exchange::Failure),
+    Unreachable(#[from] rpc::Failure),
     /// Its address can't be read.
     #[error("unreadable address: {0}; run the same version on all nodes")]
     Address(#[from] AddrParseError),
@@ -66,7 +66,7 @@
 
 impl From<Error> for Failure {
     fn from(error: Error) -> Self {
-        exchange::Failure::from(error).into()
+        rpc::Failure::from(error).into()
     }
 }
 
@@ -141,8 +141,8 @@
     /// coordinator.
     async fn delegate_to(&self, coordinator: &Node) -> Result<(), Failure> {
         let address: SocketAddr = coordinator.calls.parse()?;
-        let timed_out = |_| exchange::Failure::Silent;
-        let connecting = timeout(OPEN_TIMEOUT, exchange::connect(address));
+        let timed_out = |_| rpc::Failure::Timeout;
+        let connecting = timeout(OPEN_TIMEOUT, rpc::connect(address));
         let connection = connecting.await.map_err(timed_out)??;
         let mut open = connection.client.open_request();
         open.get().set_node(self.own.as_str());
@@ -185,7 +185,7 @@
                         return Err(Failure::Replaced);
                     }
                     if liveness.ping_timed_out() {
-                        return Err(exchange::Failure::Silent.into());
+                        return Err(rpc::Failure::Timeout.into());
                     }
                     if liveness.ping_is_due() {
                         liveness.pinged_at.set(Some(Instant::now()));
--- a/gateway/src/node.rs
+++ b/gateway/src/node.rs
@@ -44,10 +44,10 @@
     coordinator::Link,
     dialect::Dialect,
     directory::{self, Snapshot, Source},
-    exchange::{self, Offer},
     logging::Log,
     metrics::Metrics,
     peers::{self, Peers},
+    rpc::{self, Server},
     settings::Settings,
 };
 
@@ -192,13 +192,13 @@
         share: thousandths(settings.processor_share),
     };
     let controller = start_controller(&settings, &adapters.source, &chain, &channels).await?;
-    let offer = Offer {
+    let rpc_server = Server {
         snapshot: channels.snapshot.subscribe(),
         admission: chain.admission.clone(),
         clock: chain.clock,
         phase: chain.phase.clone(),
     };
-    spawn_local(exchange::serve(listeners.peers, offer));
+    spawn_local(rpc::serve(listeners.peers, rpc_server));
     let link = Link::new(
         own.name.clone(),
         chain.admission.clone(),
@@ -323,7 +323,7 @@
         let Some(seed) = seeds.next() else {
             return;
         };
-        match exchange::fetch_snapshot(*seed).await {
+        match rpc::fetch_snapshot(*seed).await {
             Ok(None) => {}
             Ok(Some(snapshot)) => {
                 let message = controller::Message::PeerSnapshot(Box::new(snapshot));
--- a/gateway/src/rpc.rs
+++ b/gateway/src/rpc.rs
@@ -43,12 +43,12 @@
     Unreadable(#[from] serde_json::Error),
     /// The node did not answer in time.
     #[error("no answer in time; check the link between the nodes")]
-    Silent,
+    Timeout,
 }
 
 /// Serves the calls of other nodes.
 #[derive(Clone)]
-pub struct Offer {
+pub struct Server {
     /// The directory as this node knows it.
     pub snapshot: watch::Receiver<Arc<Snapshot>>,
     /// Decides for the nodes whose coordinator this node is.
@@ -60,7 +60,7 @@
     pub phase: Phase,
 }
 
-impl directory::Server for Offer {
+impl directory::Server for Server {
     async fn open(
         self: Rc<Self>,
         params: directory::OpenParams,
@@ -98,7 +98,7 @@
 }
 
 /// Serves the calls of other nodes; never returns.
-pub async fn serve(listener: TcpListener, offer: Offer) {
+pub async fn serve(listener: TcpListener, server: Server) {
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
@@ -121,7 +121,7 @@
                 continue;
             }
         };
-        let client: directory::Client = capnp_rpc::new_client(offer.clone());
+        let client: directory::Client = capnp_rpc::new_client(server.clone());
         let system = RpcSystem::new(Box::new(network), Some(client.client));
         spawn_local(async move {
             // The other node closes the connection, or the keepalive probes end it.
@@ -140,7 +140,7 @@
 pub async fn fetch_snapshot(address: SocketAddr) -> Result<Option<Snapshot>, Failure> {
     timeout(FETCH_TIMEOUT, read_snapshot(address))
         .await
-        .unwrap_or(Err(Failure::Silent))
+        .unwrap_or(Err(Failure::Timeout))
 }
 
 async fn read_snapshot(address: SocketAddr) -> Result<Option<Snapshot>, Failure> {
--- a/gateway/tests/test_coordinator.rs
+++ b/gateway/tests/test_coordinator.rs
@@ -18,7 +18,7 @@
     admission::Handle,
     coordinator::{self, Link},
     directory::{Node, Snapshot},
-    exchange::{self, Offer},
+    rpc::{self, Server},
 };
 use dottereltally_lib::{
     dispatcher::{Dispatcher, Load, Outcome, Request, Settings, Timing},
@@ -147,13 +147,13 @@
             ..Snapshot::default()
         };
         let phase = Phase::default();
-        let offer = Offer {
+        let server = Server {
             snapshot: watch::Sender::new(Arc::new(snapshot)).subscribe(),
             admission: coordinator.clone(),
             clock,
             phase: phase.clone(),
         };
-        spawn_local(exchange::serve(listener, offer));
+        spawn_local(rpc::serve(listener, server));
         let ranked_nodes = link(
             "node",
             &node_handle,
--- a/gateway/tests/test_rpc.rs
+++ b/gateway/tests/test_rpc.rs
@@ -10,7 +10,7 @@
 use dottereltally_gateway::{
     admission::Handle,
     directory::{Entry, Node, Snapshot},
-    exchange::{self, Offer},
+    rpc::{self, Server},
 };
 use dottereltally_lib::{
     dispatcher::{Dispatcher, Settings},
@@ -57,14 +57,14 @@
     let address = listener.local_addr().unwrap();
     let (_sender, receiver) = watch::channel(Arc::new(known));
     let clock = Clock::start();
-    let offer = Offer {
+    let server = Server {
         snapshot: receiver,
         admission: Handle::new(Dispatcher::new(Settings::default()), clock),
         clock,
         phase: Phase::default(),
     };
-    spawn_local(exchange::serve(listener, offer));
-    exchange::fetch_snapshot(address).await.unwrap()
+    spawn_local(rpc::serve(listener, server));
+    rpc::fetch_snapshot(address).await.unwrap()
 }
 
 #[tokio::test]
@@ -89,7 +89,7 @@
     let address = listener.local_addr().unwrap();
     drop(listener);
     let result = LocalSet::new()
-        .run_until(exchange::fetch_snapshot(address))
+        .run_until(rpc::fetch_snapshot(address))
         .await;
     assert!(result.is_err());
 }
