--- a/gateway/src/controller/endpoints.rs
+++ b/gateway/src/controller/endpoints.rs
@@ -95,7 +95,7 @@
                 service = %entry.record.service,
                 address = entry.record.address,
                 standing = %entry.record.standing,
-                born = entry.born,
+                born = entry.started_ms,
                 sequence = entry.sequence,
                 "endpoint added or changed"
             );
@@ -181,8 +181,10 @@
 /// Returns whether a description was written before the known one: by an
 /// earlier process of the endpoint, or earlier by the same process.
 fn is_older(entry: &Entry, known: &Entry) -> bool {
-    match (entry.born, known.born) {
-        (Some(entry_born), Some(known_born)) if entry_born != known_born => entry_born < known_born,
+    match (entry.started_ms, known.started_ms) {
+        (Some(entry_start), Some(known_start)) if entry_start != known_start => {
+            entry_start < known_start
+        }
         (None, Some(_)) => true,
         (Some(_), None) => false,
         _ => entry.sequence < known.sequence && entry.record.address == known.record.address,
--- a/gateway/src/coordinator.rs
+++ b/gateway/src/coordinator.rs
@@ -31,13 +31,13 @@
 ) -> Vec<Node> {
     let mut ranked = Vec::new();
     for node in nodes {
-        if node.data_centre == *data_centre && !node.calls.is_empty() {
+        if node.data_centre == *data_centre && !node.rpc_address.is_empty() {
             ranked.push(node.clone());
         }
     }
     ranked.sort_by_key(|node| {
         let weight = rendezvous::weight(data_centre.as_str(), &node.name);
-        Reverse((node.share, weight, node.name.clone()))
+        Reverse((node.millicores, weight, node.name.clone()))
     });
     ranked
 }
--- a/gateway/src/coordinator/link.rs
+++ b/gateway/src/coordinator/link.rs
@@ -140,7 +140,7 @@
     /// Lets a coordinator decide until it fails or another node is the
     /// coordinator.
     async fn delegate_to(&self, coordinator: &Node) -> Result<(), Failure> {
-        let address: SocketAddr = coordinator.calls.parse()?;
+        let address: SocketAddr = coordinator.rpc_address.parse()?;
         let timed_out = |_| rpc::Failure::Timeout;
         let connecting = timeout(OPEN_TIMEOUT, rpc::connect(address));
         let connection = connecting.await.map_err(timed_out)??;
--- a/gateway/src/directory.rs
+++ b/gateway/src/directory.rs
@@ -14,7 +14,8 @@
     pub record: endpoint::Record,
     /// Start time of the endpoint's process in milliseconds since the Unix
     /// epoch, if it reports it.
-    pub born: Option<u64>,
+    #[serde(rename = "born")]
+    pub started_ms: Option<u64>,
     /// Number of the description, counted from the process's start.
     pub sequence: u64,
 }
@@ -30,11 +31,11 @@
     pub data_centre: id::DataCentre,
     /// Address that takes RPC calls of other nodes, `ip:port`; empty if the
     /// node takes none.
-    #[serde(default)]
-    pub calls: String,
-    /// Share of a processor core that the node may use, in thousandths.
-    #[serde(default)]
-    pub share: u32,
+    #[serde(default, rename = "calls")]
+    pub rpc_address: String,
+    /// Processor time that the node may use, in thousandths of a core.
+    #[serde(default, rename = "share")]
+    pub millicores: u32,
 }
 
 /// A change of the directory.
--- a/gateway/src/node.rs
+++ b/gateway/src/node.rs
@@ -188,8 +188,8 @@
         name: settings.node.clone(),
         address: settings.listen.beats.to_string(),
         data_centre: settings.data_centre.clone(),
-        calls: settings.listen.peers.to_string(),
-        share: thousandths(settings.processor_share),
+        rpc_address: settings.listen.peers.to_string(),
+        millicores: millicores(settings.processor_share),
     };
     let controller = start_controller(&settings, &adapters.source, &chain, &channels).await?;
     let rpc_server = Server {
@@ -243,14 +243,14 @@
     Ok(())
 }
 
-fn thousandths(part: f64) -> u32 {
+fn millicores(cores: f64) -> u32 {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "clamped"
     )]
-    let thousandths = (part * 1000.0).clamp(0.0, 1e6) as u32;
-    thousandths
+    let millicores = (cores * 1000.0).clamp(0.0, 1e6) as u32;
+    millicores
 }
 
 fn build_chain<D>(
--- a/gateway/tests/test_coordinator.rs
+++ b/gateway/tests/test_coordinator.rs
@@ -37,13 +37,13 @@
 
 const CAPACITY: u32 = 2;
 
-fn node(name: &str, share: u32, calls: &str) -> Node {
+fn node(name: &str, millicores: u32, rpc_address: &str) -> Node {
     Node {
         name: id::Node::from(name),
         address: "127.0.0.1:1".to_owned(),
         data_centre: id::DataCentre::from("dc"),
-        calls: calls.to_owned(),
-        share,
+        rpc_address: rpc_address.to_owned(),
+        millicores,
     }
 }
 
@@ -198,7 +198,7 @@
         node("b", 500, "x"),
         node("c", 500, "x"),
     ];
-    nodes.push(node("no-calls", 900, ""));
+    nodes.push(node("no-rpc-address", 900, ""));
     let centre = id::DataCentre::from("dc");
     let ranked = coordinator::rank(&centre, &nodes);
     assert_eq!(ranked.len(), 3);
--- a/gateway/tests/test_endpoints.rs
+++ b/gateway/tests/test_endpoints.rs
@@ -13,7 +13,7 @@
     time::Instant::from_micros(millis * 1000)
 }
 
-fn entry(standing: Standing, born: Option<u64>, sequence: u64) -> Entry {
+fn entry(standing: Standing, started_ms: Option<u64>, sequence: u64) -> Entry {
     Entry {
         record: Record {
             id: id::Endpoint::from("e"),
@@ -23,7 +23,7 @@
             standing,
             capacity: Some(4),
         },
-        born,
+        started_ms,
         sequence,
     }
 }
@@ -94,7 +94,10 @@
 #[case::same_process(Some(100), 4)]
 #[case::earlier_process(Some(50), 99)]
 #[case::unknown_process(None, 99)]
-fn an_older_description_does_not_undo_leaving(#[case] born: Option<u64>, #[case] sequence: u64) {
+fn an_older_description_does_not_undo_leaving(
+    #[case] started_ms: Option<u64>,
+    #[case] sequence: u64,
+) {
     let mut endpoints = with_live_endpoint();
     endpoints.update(
         at(500),
@@ -104,7 +107,7 @@
     endpoints.update(
         at(600),
         endpoint(),
-        Some(entry(Standing::Live, born, sequence)),
+        Some(entry(Standing::Live, started_ms, sequence)),
     );
     let records = endpoints.take_changed(at(600)).unwrap();
     assert_eq!(records[0].standing, Standing::Leaving);
--- a/gateway/tests/test_registration.rs
+++ b/gateway/tests/test_registration.rs
@@ -71,8 +71,8 @@
         name: id::Node::from("n"),
         address: "127.0.0.1:1".to_owned(),
         data_centre: id::DataCentre::from("dc"),
-        calls: "127.0.0.1:3".to_owned(),
-        share: 250,
+        rpc_address: "127.0.0.1:3".to_owned(),
+        millicores: 250,
     };
     Arc::new(Registration::new(leases.clone(), node, Metrics::default()))
 }
--- a/gateway/tests/test_rpc.rs
+++ b/gateway/tests/test_rpc.rs
@@ -34,7 +34,7 @@
     };
     let entry = Entry {
         record,
-        born: Some(7),
+        started_ms: Some(7),
         sequence: 3,
     };
     Snapshot {
@@ -44,8 +44,8 @@
             name: id::Node::from("n"),
             address: "127.0.0.1:2".to_owned(),
             data_centre: id::DataCentre::from("dc"),
-            calls: "127.0.0.1:3".to_owned(),
-            share: 250,
+            rpc_address: "127.0.0.1:3".to_owned(),
+            millicores: 250,
         }],
         ..Snapshot::default()
     }
