--- a/gateway/src/coordinator/link.rs
+++ b/gateway/src/coordinator/link.rs
@@ -22,9 +22,9 @@
 
 use crate::{
     admission::{self, Command},
-    beat::{length, write_loads},
     coordinator::wire,
     directory::Node,
+    heartbeat::{list_length, write_loads},
     rpc,
 };
 
@@ -147,7 +147,7 @@
         let mut open = connection.client.open_request();
         open.get().set_node(self.own.as_str());
         let loads = self.admission.count_locally();
-        write_loads(&loads, open.get().init_held(length(loads.len())));
+        write_loads(&loads, open.get().init_held(list_length(loads.len())));
         let opening = timeout(OPEN_TIMEOUT, open.send().promise);
         let session = opening.await.map_err(timed_out)??;
         let session = session.get()?.get_desk()?;
--- a/gateway/src/coordinator/wire.rs
+++ b/gateway/src/coordinator/wire.rs
@@ -12,7 +12,7 @@
 };
 use dottereltally_proto::gateway_capnp::{self, ask, decision, desk, refusal as wire_refusal};
 
-use crate::beat::length;
+use crate::heartbeat::list_length;
 
 pub(super) fn write_request(request: &Request, now: time::Instant, mut wire: ask::Builder<'_>) {
     wire.set_service(request.service.as_str());
@@ -24,9 +24,9 @@
     wire.set_due_micros(micros(request.first_byte_due.since(now)));
     wire.set_first_by_micros(micros(request.caller_leaves_at.since(now)));
     wire.set_deadline_micros(micros(request.deadline.since(now)));
-    let mut excluded = wire.init_avoid(length(request.excluded.len()));
+    let mut excluded = wire.init_avoid(list_length(request.excluded.len()));
     for (index, endpoint) in request.excluded.iter().enumerate() {
-        excluded.set(length(index), endpoint.as_str());
+        excluded.set(list_length(index), endpoint.as_str());
     }
 }
 
--- a/gateway/src/beat.rs
+++ b/gateway/src/heartbeat.rs
@@ -14,11 +14,11 @@
 use dottereltally_proto::gateway_capnp::{beat, held};
 
 /// Size limit of a heartbeat that is read, in 8-byte words: 64 KiB.
-const MAX_WORDS: usize = 8 * 1024;
+const MAX_HEARTBEAT_WORDS: usize = 8 * 1024;
 
 /// A heartbeat: the state of one node.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The node that sends it.
     pub node: id::Node,
     /// Identifies the process of the node; a restarted node has another one.
@@ -29,8 +29,8 @@
     pub data_centre: DataCentre,
     /// Generation of the plan in force at the node.
     pub generation: Generation,
-    /// What it holds at each endpoint.
-    pub held: Vec<(Endpoint, Load)>,
+    /// Its load on each endpoint.
+    pub loads: Vec<(Endpoint, Load)>,
     /// Its use of the quotas.
     pub usage: BTreeMap<Workspace, Usage>,
     /// Requests that may crash endpoints, each with the time for which it stays
@@ -38,7 +38,7 @@
     pub marks: Vec<(Fingerprint, Duration)>,
 }
 
-impl Beat {
+impl Heartbeat {
     /// Encodes the heartbeat as one datagram.
     ///
     /// # Errors
@@ -53,19 +53,19 @@
         root.set_data_centre(self.data_centre.as_str());
         root.set_generation(self.generation.0);
         write_loads(
-            &self.held,
-            root.reborrow().init_held(length(self.held.len())),
+            &self.loads,
+            root.reborrow().init_held(list_length(self.loads.len())),
         );
-        let mut list = root.reborrow().init_usage(length(self.usage.len()));
+        let mut list = root.reborrow().init_usage(list_length(self.usage.len()));
         for (index, (workspace, usage)) in self.usage.iter().enumerate() {
-            let mut entry = list.reborrow().get(length(index));
+            let mut entry = list.reborrow().get(list_length(index));
             entry.set_workspace(workspace.as_str());
             entry.set_admitted(usage.admitted);
             entry.set_demand(usage.demand);
         }
-        let mut list = root.init_marks(length(self.marks.len()));
+        let mut list = root.init_marks(list_length(self.marks.len()));
         for (index, (fingerprint, valid)) in self.marks.iter().enumerate() {
-            let mut entry = list.reborrow().get(length(index));
+            let mut entry = list.reborrow().get(list_length(index));
             entry.set_fingerprint(fingerprint.0);
             entry.set_valid_ms(u64::try_from(valid.as_millis()).unwrap_or(u64::MAX));
         }
@@ -81,10 +81,10 @@
     /// Fails if the datagram is not a heartbeat.
     pub fn decode(bytes: &[u8]) -> capnp::Result<Self> {
         let mut options = ReaderOptions::new();
-        options.traversal_limit_in_words(Some(MAX_WORDS));
+        options.traversal_limit_in_words(Some(MAX_HEARTBEAT_WORDS));
         let message = serialize_packed::read_message(bytes, options)?;
         let root = message.get_root::<beat::Reader<'_>>()?;
-        let mut beat = Self {
+        let mut heartbeat = Self {
             node: id::Node::from(root.get_node()?.to_str()?),
             incarnation: root.get_incarnation(),
             sequence: root.get_sequence(),
@@ -92,31 +92,32 @@
             generation: Generation(root.get_generation()),
             ..Self::default()
         };
-        beat.held = read_loads(root.get_held()?)?;
+        heartbeat.loads = read_loads(root.get_held()?)?;
         for entry in root.get_usage()? {
             let usage = Usage {
                 admitted: entry.get_admitted(),
                 demand: entry.get_demand(),
             };
             let workspace = Workspace::from(entry.get_workspace()?.to_str()?);
-            beat.usage.insert(workspace, usage);
+            heartbeat.usage.insert(workspace, usage);
         }
         for entry in root.get_marks()? {
             let valid = Duration::from_millis(entry.get_valid_ms());
-            beat.marks
+            heartbeat
+                .marks
                 .push((Fingerprint(entry.get_fingerprint()), valid));
         }
-        Ok(beat)
+        Ok(heartbeat)
     }
 }
 
-/// Writes what a node holds at each endpoint.
+/// Encodes the load of a node on each endpoint.
 pub(crate) fn write_loads(
     entries: &[(Endpoint, Load)],
     mut list: capnp::struct_list::Builder<'_, held::Owned>,
 ) {
     for (index, (endpoint, load)) in entries.iter().enumerate() {
-        let mut entry = list.reborrow().get(length(index));
+        let mut entry = list.reborrow().get(list_length(index));
         entry.set_endpoint(endpoint.as_str());
         entry.set_requests(load.requests);
         entry.set_pending(load.pending);
@@ -125,7 +126,7 @@
     }
 }
 
-/// Reads what a node holds at each endpoint.
+/// Decodes the load of a node on each endpoint.
 pub(crate) fn read_loads(
     list: capnp::struct_list::Reader<'_, held::Owned>,
 ) -> Result<Vec<(Endpoint, Load)>, capnp::Error> {
@@ -144,6 +145,6 @@
 }
 
 /// Converts the length or index of a list to its type on the wire.
-pub(crate) fn length(count: usize) -> u32 {
+pub(crate) fn list_length(count: usize) -> u32 {
     u32::try_from(count).unwrap_or(u32::MAX)
 }
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -7,13 +7,13 @@
 
 pub mod admission;
 pub mod attempt;
-pub mod beat;
 pub mod chain;
 pub mod controller;
 pub mod coordinator;
 pub mod dialect;
 pub mod directory;
 pub mod events;
+pub mod heartbeat;
 pub mod logging;
 pub mod metrics;
 pub mod node;
--- a/gateway/src/node.rs
+++ b/gateway/src/node.rs
@@ -105,21 +105,21 @@
     health: TcpListener,
     operations: TcpListener,
     peers: TcpListener,
-    beats: UdpSocket,
+    heartbeats: UdpSocket,
 }
 
 impl Listeners {
     async fn bind(settings: &Settings) -> eyre::Result<Self> {
         let listen = &settings.listen;
-        let beats = UdpSocket::bind(listen.beats)
+        let heartbeats = UdpSocket::bind(listen.heartbeats)
             .await
-            .wrap_err_with(|| bind_failure(listen.beats, "listen.beats"))?;
+            .wrap_err_with(|| bind_failure(listen.heartbeats, "listen.beats"))?;
         Ok(Self {
             callers: bind_tcp(listen.callers, "listen.callers").await?,
             health: bind_tcp(listen.health, "listen.health").await?,
             operations: bind_tcp(listen.operations, "listen.operations").await?,
             peers: bind_tcp(listen.peers, "listen.peers").await?,
-            beats,
+            heartbeats,
         })
     }
 }
@@ -186,7 +186,7 @@
     ));
     let own = directory::Node {
         name: settings.node.clone(),
-        address: settings.listen.beats.to_string(),
+        address: settings.listen.heartbeats.to_string(),
         data_centre: settings.data_centre.clone(),
         rpc_address: settings.listen.peers.to_string(),
         millicores: millicores(settings.processor_share),
@@ -214,7 +214,7 @@
     let registration = Arc::new(Registration::new(adapters.source, own.clone(), metrics));
     let renewed = Arc::clone(&registration);
     tokio::spawn(async move { renewed.run().await });
-    start_peers(own, listeners.beats, &chain, &channels).await?;
+    start_peers(own, listeners.heartbeats, &chain, &channels).await?;
     let stop = watch::Sender::new(false);
     let state = State::new(&settings, &chain, &channels);
     serve_pages(
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -1,4 +1,4 @@
-//! Exchanges heartbeats with the other nodes: what each node holds at
+//! Exchanges heartbeats with the other nodes, which carry each node's load on
 //! endpoints, its use of quotas and its quarantine marks.
 //!
 //! Heartbeats are datagrams. Each replaces the one before, so a lost one is not
@@ -16,11 +16,11 @@
 use tokio::{net::UdpSocket, sync::watch};
 
 use crate::{
-    beat::Beat,
     chain::{Chain, lock, millis},
     coordinator,
     dialect::Dialect,
     directory::Node,
+    heartbeat::Heartbeat,
 };
 
 /// Interval at which due heartbeats and silent nodes are looked for.
@@ -31,12 +31,12 @@
 const MIN_INTERVAL: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(200));
 
 /// Time between two heartbeats from one coordinator to another: each carries
-/// what its data centre has at the endpoints that they share.
+/// the load of its data centre on the endpoints that they share.
 const COORDINATOR_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Most heartbeats a second that a node sends to its own data centre, and to
 /// all others together; in a larger fleet the interval to each node grows.
-const MAX_BEATS_PER_SECOND: u32 = 50;
+const MAX_HEARTBEATS_PER_SECOND: u32 = 50;
 
 /// Intervals without a heartbeat after which a node counts as silent, and the
 /// shortest time for it.
@@ -51,7 +51,7 @@
     /// The registered nodes, without this one.
     Registered(Vec<Node>),
     /// A heartbeat was received.
-    Received(Box<Beat>, SocketAddr),
+    Received(Box<Heartbeat>, SocketAddr),
     /// Periodic timer.
     Tick,
 }
@@ -131,7 +131,7 @@
     ) -> Result<(), ActorProcessingErr> {
         match message {
             Message::Registered(nodes) => state.update_registered(nodes),
-            Message::Received(beat, from) => state.receive(&beat, from),
+            Message::Received(heartbeat, from) => state.receive(&heartbeat, from),
             Message::Tick => state.tick(),
         }
         Ok(())
@@ -227,38 +227,38 @@
         self.coordinators = coordinators;
     }
 
-    fn receive(&mut self, beat: &Beat, from: SocketAddr) {
-        if beat.node == self.arguments.own.name {
+    fn receive(&mut self, heartbeat: &Heartbeat, from: SocketAddr) {
+        if heartbeat.node == self.arguments.own.name {
             return;
         }
         let now = self.now();
-        let known = self.peers.contains_key(&beat.node);
-        let local = beat.data_centre == self.arguments.own.data_centre;
-        let peer = self.peers.entry(beat.node.clone()).or_insert(Peer {
+        let known = self.peers.contains_key(&heartbeat.node);
+        let local = heartbeat.data_centre == self.arguments.own.data_centre;
+        let peer = self.peers.entry(heartbeat.node.clone()).or_insert(Peer {
             address: from,
             local,
-            incarnation: beat.incarnation,
+            incarnation: heartbeat.incarnation,
             sequence: 0,
             last_received: None,
             silent: false,
             due: now,
         });
-        if peer.incarnation == beat.incarnation && beat.sequence <= peer.sequence {
+        if peer.incarnation == heartbeat.incarnation && heartbeat.sequence <= peer.sequence {
             return;
         }
         let returned = peer.last_received.is_none() || peer.silent;
-        if returned || peer.incarnation != beat.incarnation {
+        if returned || peer.incarnation != heartbeat.incarnation {
             tracing::info!(
-                node = %beat.node,
+                node = %heartbeat.node,
                 address = %from,
-                incarnation = beat.incarnation,
-                generation = beat.generation.0,
+                incarnation = heartbeat.incarnation,
+                generation = heartbeat.generation.0,
                 "receiving heartbeats from node"
             );
         }
         peer.address = from;
-        peer.incarnation = beat.incarnation;
-        peer.sequence = beat.sequence;
+        peer.incarnation = heartbeat.incarnation;
+        peer.sequence = heartbeat.sequence;
         peer.last_received = Some(now);
         peer.silent = false;
         if !known {
@@ -269,17 +269,17 @@
         let chain = &self.arguments.chain;
         lock(&chain.limiter).record_peer_usage(
             now,
-            &beat.node,
-            beat.incarnation,
-            beat.usage.clone(),
+            &heartbeat.node,
+            heartbeat.incarnation,
+            heartbeat.usage.clone(),
         );
-        for (mark, valid) in &beat.marks {
+        for (mark, valid) in &heartbeat.marks {
             lock(&chain.crashes).apply_mark(now, *mark, *valid);
         }
-        let loads = beat.held.iter().cloned().collect();
+        let loads = heartbeat.loads.iter().cloned().collect();
         chain
             .admission
-            .apply(|dispatcher, now| dispatcher.record_peer_load(now, &beat.node, loads));
+            .apply(|dispatcher, now| dispatcher.record_peer_load(now, &heartbeat.node, loads));
     }
 
     fn tick(&mut self) {
@@ -310,8 +310,8 @@
         if due.is_empty() {
             return;
         }
-        let beat = match self.beat(now).encode() {
-            Ok(beat) => beat,
+        let heartbeat = match self.heartbeat(now).encode() {
+            Ok(heartbeat) => heartbeat,
             Err(error) => {
                 tracing::error!(%error, "heartbeat can't be encoded");
                 return;
@@ -320,17 +320,17 @@
         for address in due {
             // If the socket buffer is full, the heartbeat is lost; the next one
             // replaces it.
-            if let Err(error) = self.arguments.socket.try_send_to(&beat, address) {
+            if let Err(error) = self.arguments.socket.try_send_to(&heartbeat, address) {
                 tracing::debug!(%address, %error, "heartbeat not sent");
             }
         }
     }
 
-    fn beat(&mut self, now: time::Instant) -> Beat {
+    fn heartbeat(&mut self, now: time::Instant) -> Heartbeat {
         self.sequence += 1;
         let chain = &self.arguments.chain;
         let plan = chain.plan.borrow();
-        Beat {
+        Heartbeat {
             node: self.arguments.own.name.clone(),
             incarnation: self.incarnation,
             sequence: self.sequence,
@@ -339,14 +339,14 @@
                 .as_ref()
                 .map(|plan| plan.generation)
                 .unwrap_or_default(),
-            held: chain.admission.take_load(),
+            loads: chain.admission.take_load(),
             usage: lock(&chain.limiter).take_usage(now),
             marks: lock(&chain.crashes).marks_to_share(now),
         }
     }
 
     /// Marks nodes as silent that sent no heartbeat for too long, and forgets
-    /// what they held at endpoints.
+    /// their load on endpoints.
     fn detect_silence(&mut self, now: time::Instant, intervals: (Duration, Duration)) {
         let mut live = 0;
         let mut changed = false;
@@ -385,7 +385,7 @@
 /// Returns the time between two heartbeats to each of `nodes` nodes.
 fn interval(shortest: Duration, nodes: usize) -> Duration {
     let nodes = u32::try_from(nodes).unwrap_or(u32::MAX);
-    shortest.max(Duration::from_secs(1) * nodes / MAX_BEATS_PER_SECOND)
+    shortest.max(Duration::from_secs(1) * nodes / MAX_HEARTBEATS_PER_SECOND)
 }
 
 /// Receives heartbeats; never returns.
@@ -399,9 +399,10 @@
                 continue;
             }
         };
-        match Beat::decode(&buffer[..length]) {
-            Ok(beat) => {
-                if let Err(error) = peers.send_message(Message::Received(Box::new(beat), from)) {
+        match Heartbeat::decode(&buffer[..length]) {
+            Ok(heartbeat) => {
+                if let Err(error) = peers.send_message(Message::Received(Box::new(heartbeat), from))
+                {
                     tracing::error!(%error, "peer actor has stopped");
                 }
             }
--- a/gateway/src/rpc.rs
+++ b/gateway/src/rpc.rs
@@ -21,7 +21,8 @@
 };
 
 use crate::{
-    admission, beat::read_loads, coordinator::Session, directory::Snapshot, node::UPSTREAM_LIMITS,
+    admission, coordinator::Session, directory::Snapshot, heartbeat::read_loads,
+    node::UPSTREAM_LIMITS,
 };
 
 /// Time for another node to return its directory.
--- a/gateway/src/settings.rs
+++ b/gateway/src/settings.rs
@@ -48,7 +48,7 @@
     /// For RPC calls of other nodes, TCP.
     pub peers: SocketAddr,
     /// For heartbeats of other nodes, UDP.
-    pub beats: SocketAddr,
+    pub heartbeats: SocketAddr,
     /// For the pages for operators, such as metrics.
     pub operations: SocketAddr,
 }
@@ -197,7 +197,7 @@
         callers: check.address("listen.callers", &wire.listen.callers),
         health: check.address("listen.health", &wire.listen.health),
         peers: check.address("listen.peers", &wire.listen.peers),
-        beats: check.address("listen.beats", &wire.listen.beats),
+        heartbeats: check.address("listen.beats", &wire.listen.beats),
         operations: check.address("listen.operations", &wire.listen.operations),
     };
     let mut seeds = Vec::new();
--- a/gateway/tests/test_beat.rs
+++ b/gateway/tests/test_heartbeat.rs
@@ -2,18 +2,18 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use dottereltally_gateway::beat::Beat;
+use dottereltally_gateway::heartbeat::Heartbeat;
 use dottereltally_lib::{dispatcher::Load, id, quota::Usage};
 
 #[test]
 fn a_heartbeat_survives_encoding_and_decoding() {
-    let beat = Beat {
+    let heartbeat = Heartbeat {
         node: id::Node::from("n1"),
         incarnation: 7,
         sequence: 9,
         data_centre: id::DataCentre::from("dc"),
         generation: id::Generation(4),
-        held: vec![(
+        loads: vec![(
             id::Endpoint::from("e"),
             Load {
                 requests: 3,
@@ -30,12 +30,12 @@
         )]),
         marks: vec![(id::Fingerprint(5), Duration::from_secs(3))],
     };
-    let bytes = beat.encode().unwrap();
-    assert_eq!(Beat::decode(&bytes).unwrap(), beat);
+    let bytes = heartbeat.encode().unwrap();
+    assert_eq!(Heartbeat::decode(&bytes).unwrap(), heartbeat);
 }
 
 #[test]
 fn other_datagrams_are_errors() {
-    assert!(Beat::decode(b"").is_err());
-    assert!(Beat::decode(&[0xff; 40]).is_err());
+    assert!(Heartbeat::decode(b"").is_err());
+    assert!(Heartbeat::decode(&[0xff; 40]).is_err());
 }
