--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -119,7 +119,7 @@
     pub first: Batch,
     /// The rest of the stream.
     pub body: Answer,
-    /// Splits the stream into events; holds the start of an unfinished one.
+    /// Splits the stream into events; buffers the start of an unfinished one.
     pub splitter: Splitter,
     /// The permit, not yet ended.
     pub permit: Permit,
@@ -160,7 +160,7 @@
         /// Its answer.
         answer: Box<Buffered>,
     },
-    /// The endpoint gave any other whole answer.
+    /// The endpoint gave any other complete answer.
     Answered {
         /// The permit, not yet ended.
         permit: Permit,
@@ -208,7 +208,7 @@
     Outcome::Rejected
 }
 
-/// Sends a request to the chosen endpoint and waits for its whole answer, or
+/// Sends a request to the chosen endpoint and waits for its complete answer, or
 /// for the first events of its stream.
 pub async fn send<D: Dialect>(
     chain: &Chain<D>,
@@ -275,7 +275,8 @@
     resumable.then(|| choice.expected_first_byte * 3 + FIRST_EVENT_SLACK)
 }
 
-/// Tells a passed deadline from an endpoint that is slower than expected.
+/// Distinguishes a passed deadline from an endpoint that is slower than
+/// expected.
 fn first_event_overdue(permit: Permit, deadline: Instant) -> Attempt {
     if Instant::now() >= deadline {
         return Attempt::Expired { permit };
--- a/gateway/src/chain.rs
+++ b/gateway/src/chain.rs
@@ -574,7 +574,7 @@
 
 impl Fallback {
     /// Returns the newer one, unless only the older one is an endpoint's
-    /// answer, which says more to the caller than a refusal.
+    /// answer, which is more useful to the caller than a refusal.
     fn prefer_answer(older: Option<Self>, newer: Self) -> Self {
         match (older, &newer) {
             (Some(answer @ Self::Answer(..)), Self::Refused(_)) => answer,
--- a/gateway/src/dialect.rs
+++ b/gateway/src/dialect.rs
@@ -13,7 +13,7 @@
 #[error("{0}")]
 pub struct Malformed(pub String);
 
-/// What the headers of a request say.
+/// What the gateway reads from the headers of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Head {
     /// Identifies the caller's attempt; endpoints repeat it in their answers.
@@ -46,14 +46,14 @@
     pub last_event_id: Option<u64>,
 }
 
-/// What the headers of an endpoint's answer say.
+/// What the gateway reads from the headers of an endpoint's answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answer {
     /// Identifies the caller's attempt that it answers.
     pub correlation: Option<String>,
-    /// Whether the endpoint marked it as its own, whole answer.
+    /// Whether the endpoint marked it as its own, complete answer.
     pub sealed: bool,
-    /// Whether the endpoint says that it did not run the request.
+    /// Whether the endpoint reports that it did not run the request.
     pub not_run: bool,
     /// Requests that are running and waiting at the endpoint.
     pub load: Option<(u32, u32)>,
--- a/gateway/src/events.rs
+++ b/gateway/src/events.rs
@@ -1,11 +1,11 @@
-//! Splits a stream of server-sent events into whole events.
+//! Splits a stream of server-sent events into complete events.
 
 use bytes::{Bytes, BytesMut};
 
 /// Largest event that is buffered.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One or more whole events.
+/// One or more complete events.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
     /// The bytes, up to and including the blank line of the last event.
@@ -18,7 +18,7 @@
     pub last_id: Option<u64>,
 }
 
-/// Buffers bytes until events are whole.
+/// Buffers bytes until events are complete.
 #[derive(Debug, Default)]
 pub struct Splitter {
     buffer: BytesMut,
@@ -94,7 +94,8 @@
     std::str::from_utf8(value).ok()?.trim().parse().ok()
 }
 
-/// Returns the end of the last blank line that ends after `from`.
+/// Returns the end of the last blank line that ends after
+/// `search_start`.
 fn last_event_end(bytes: &[u8], search_start: usize) -> Option<usize> {
     let mut end = bytes.len();
     while end > search_start {
--- a/gateway/src/refusal.rs
+++ b/gateway/src/refusal.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Refuses a request for a reason of the decision core.
+    /// Refuses a request as the core library (`dottereltally_lib`) decided.
     #[must_use]
     pub fn from_core(refusal: refusal::Refusal) -> Self {
         let (status, detail) = match refusal.reason {
@@ -72,7 +72,7 @@
             .with_retry_after(refusal.retry_after)
     }
 
-    /// Tells the caller when to try again.
+    /// Sets when the caller may try again.
     #[must_use]
     pub fn with_retry_after(mut self, delay: Duration) -> Self {
         self.retry_after = Some(delay);
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -64,7 +64,7 @@
 }
 
 impl Source {
-    /// Waits for the next whole events until `event_deadline`; `deadline` is that
+    /// Waits for the next complete events until `event_deadline`; `deadline` is that
     /// of the request.
     async fn next(&mut self, event_deadline: Instant, deadline: Instant) -> Received {
         loop {
@@ -277,7 +277,7 @@
         false
     }
 
-    /// Records that the stream ended and was relayed whole.
+    /// Records that the stream ended and was relayed completely.
     fn finish(&mut self) {
         let Some(source) = self.source.take() else {
             return;
@@ -293,7 +293,8 @@
         );
     }
 
-    /// Cuts the stream, so that the caller can tell it from a complete one.
+    /// Cuts the stream, so that the caller can distinguish it from a complete
+    /// one.
     fn cut(&mut self, cause: &str) -> Cut {
         self.source = None;
         self.chain.metrics.cut.inc();
