--- a/gateway/src/controller.rs
+++ b/gateway/src/controller.rs
@@ -58,7 +58,7 @@
     /// The metrics of the node.
     pub metrics: Metrics,
     /// Name of this node.
-    pub own: id::Node,
+    pub own_name: id::Node,
 }
 
 /// Actor that owns the directory.
@@ -220,7 +220,7 @@
         let others = self
             .nodes
             .values()
-            .filter(|node| node.name != self.outputs.own);
+            .filter(|node| node.name != self.outputs.own_name);
         self.outputs.nodes.send_replace(others.cloned().collect());
     }
 
--- a/gateway/src/coordinator/link.rs
+++ b/gateway/src/coordinator/link.rs
@@ -44,19 +44,19 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Nodes at the top of the ranking that are tried as coordinator; while all
-/// nodes of a data centre start, none is ready, and deciding alone will do.
+/// nodes of a data centre start, none is ready, and deciding alone is enough.
 const MAX_CANDIDATES: usize = 3;
 
 /// Time for which a coordinator that failed is skipped.
 const FAILED_COORDINATOR_COOLDOWN: Duration = Duration::from_secs(1);
 
-/// Why a coordinator does not decide for this node any more.
+/// Why a coordinator no longer decides for this node.
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
     /// It can't be called.
     #[error(transparent)]
     Unreachable(#[from] rpc::Failure),
-    /// Its address can't be read.
+    /// Its address can't be parsed.
     #[error("unreadable address: {0}; run the same version on all nodes")]
     Address(#[from] AddrParseError),
     /// Another node is the coordinator now.
@@ -72,12 +72,12 @@
 
 /// A node's side of the link to its coordinator.
 pub struct Link {
-    own: id::Node,
+    own_name: id::Node,
     admission: admission::Handle,
     clock: Clock,
     /// The nodes of the data centre as ranked, the coordinator first.
     ranked_nodes: watch::Receiver<Vec<Node>>,
-    /// Coordinators that failed lately, and until when they are skipped.
+    /// Coordinators that failed recently, and until when they are skipped.
     cooling_down: HashMap<id::Node, Instant>,
 }
 
@@ -85,13 +85,13 @@
     /// Builds a link that is not connected yet.
     #[must_use]
     pub fn new(
-        own: id::Node,
+        own_name: id::Node,
         admission: admission::Handle,
         clock: Clock,
         ranked_nodes: watch::Receiver<Vec<Node>>,
     ) -> Self {
         Self {
-            own,
+            own_name,
             admission,
             clock,
             ranked_nodes,
@@ -99,14 +99,14 @@
         }
     }
 
-    /// Keeps the node linked to its coordinator; needs a local task set.
+    /// Keeps the node linked to its coordinator; must run in a local task set.
     pub async fn run(mut self) {
         loop {
             let now = Instant::now();
             self.cooling_down.retain(|_, until| *until > now);
             let Some(coordinator) = self.coordinator() else {
                 // This node is the coordinator, or the candidates failed
-                // lately.
+                // recently.
                 select! {
                     changed = self.ranked_nodes.changed() => if changed.is_err() {
                         return;
@@ -134,7 +134,7 @@
             let until = self.cooling_down.get(&node.name);
             until.is_none_or(|until| *until <= now)
         })?;
-        (coordinator.name != self.own).then(|| coordinator.clone())
+        (coordinator.name != self.own_name).then(|| coordinator.clone())
     }
 
     /// Lets a coordinator decide until it fails or another node is the
@@ -145,7 +145,7 @@
         let connecting = timeout(OPEN_TIMEOUT, rpc::connect(address));
         let connection = connecting.await.map_err(timed_out)??;
         let mut open = connection.client.open_request();
-        open.get().set_node(self.own.as_str());
+        open.get().set_node(self.own_name.as_str());
         let loads = self.admission.count_locally();
         write_loads(&loads, open.get().init_held(list_length(loads.len())));
         let opening = timeout(OPEN_TIMEOUT, open.send().promise);
--- a/gateway/src/node.rs
+++ b/gateway/src/node.rs
@@ -82,7 +82,7 @@
 };
 
 /// Time limits of connections to endpoints and between nodes: a data centre that is cut off and
-/// a connection that fell silent must be detected well within a caller's patience.
+/// a connection that stopped responding must be detected well within a caller's patience.
 pub(crate) const UPSTREAM_LIMITS: pool::Limits = pool::Limits {
     connect: Duration::from_millis(250),
     probe: Duration::from_secs(1),
@@ -184,7 +184,7 @@
         &channels,
         &metrics,
     ));
-    let own = directory::Node {
+    let own_node = directory::Node {
         name: settings.node.clone(),
         address: settings.listen.heartbeats.to_string(),
         data_centre: settings.data_centre.clone(),
@@ -200,7 +200,7 @@
     };
     spawn_local(rpc::serve(listeners.peers, rpc_server));
     let link = Link::new(
-        own.name.clone(),
+        own_node.name.clone(),
         chain.admission.clone(),
         chain.clock,
         channels.ranked_nodes.subscribe(),
@@ -211,10 +211,14 @@
         channels.endpoints_known.subscribe(),
         controller,
     ));
-    let registration = Arc::new(Registration::new(adapters.source, own.clone(), metrics));
+    let registration = Arc::new(Registration::new(
+        adapters.source,
+        own_node.clone(),
+        metrics,
+    ));
     let renewed = Arc::clone(&registration);
     tokio::spawn(async move { renewed.run().await });
-    start_peers(own, listeners.heartbeats, &chain, &channels).await?;
+    start_peers(own_node, listeners.heartbeats, &chain, &channels).await?;
     let stop = watch::Sender::new(false);
     let state = State::new(&settings, &chain, &channels);
     serve_pages(
@@ -224,7 +228,7 @@
         listeners.operations,
         &stop,
     );
-    tokio::spawn(tick_gate(chain.admission.clone()));
+    tokio::spawn(tick_dispatcher(chain.admission.clone()));
     tokio::spawn(update_gauges(
         chain.admission.clone(),
         chain.metrics.clone(),
@@ -243,6 +247,7 @@
     Ok(())
 }
 
+/// Converts a number of processor cores to thousandths of a core.
 fn millicores(cores: f64) -> u32 {
     #[expect(
         clippy::cast_possible_truncation,
@@ -293,7 +298,7 @@
         endpoints_known: channels.endpoints_known.clone(),
         snapshot: channels.snapshot.clone(),
         metrics: chain.metrics.clone(),
-        own: settings.node.clone(),
+        own_name: settings.node.clone(),
     };
     let (controller, _running) = Actor::spawn(None, Controller, outputs)
         .await
@@ -339,7 +344,7 @@
 
 /// Starts the exchange of heartbeats with the other nodes.
 async fn start_peers<D: Dialect>(
-    own: directory::Node,
+    own_node: directory::Node,
     socket: UdpSocket,
     chain: &Arc<Chain<D>>,
     channels: &Channels,
@@ -347,7 +352,7 @@
     let mut nodes = channels.nodes.subscribe();
     let socket = Arc::new(socket);
     let arguments = peers::Arguments {
-        own,
+        own_node,
         socket: Arc::clone(&socket),
         chain: Arc::clone(chain),
         ranked_nodes: channels.ranked_nodes.clone(),
@@ -448,7 +453,7 @@
 }
 
 /// Runs the dispatcher's timer while requests wait.
-async fn tick_gate(admission: admission::Handle) {
+async fn tick_dispatcher(admission: admission::Handle) {
     let mut ticks = interval(TICK);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -82,7 +82,7 @@
 /// Arguments of the actor.
 pub struct Arguments<D> {
     /// This node.
-    pub own: Node,
+    pub own_node: Node,
     /// Sends the heartbeats.
     pub socket: Arc<UdpSocket>,
     /// State that heartbeats report, and that received ones update.
@@ -154,7 +154,7 @@
                 tracing::warn!(node = %node.name, address = node.address, "node address can't be parsed");
                 continue;
             };
-            let local = node.data_centre == self.arguments.own.data_centre;
+            let local = node.data_centre == self.arguments.own_node.data_centre;
             let peer = self.peers.entry(node.name).or_insert(Peer {
                 address,
                 local,
@@ -191,8 +191,8 @@
 
     /// Determines the coordinator of each data centre among the live nodes.
     fn elect_coordinators(&mut self) {
-        let own = &self.arguments.own;
-        let mut live = vec![own];
+        let own_node = &self.arguments.own_node;
+        let mut live = vec![own_node];
         for (name, node) in &self.registered {
             let peer = self.peers.get(name);
             if peer.is_some_and(|peer| peer.last_received.is_some() && !peer.silent) {
@@ -205,7 +205,7 @@
         for data_centre in &data_centres {
             let ranked = coordinator::rank(data_centre, live.iter().copied());
             coordinators.extend(ranked.first().map(|node| node.name.clone()));
-            if **data_centre == own.data_centre {
+            if **data_centre == own_node.data_centre {
                 self.arguments.ranked_nodes.send_if_modified(|known| {
                     let changed = *known != ranked;
                     *known = ranked;
@@ -215,7 +215,7 @@
         }
         // A coordinator shares the endpoints only with the coordinators of
         // other data centres, any other node with every node.
-        let sharers = if coordinators.contains(&own.name) {
+        let sharers = if coordinators.contains(&own_node.name) {
             data_centres.len()
         } else {
             self.peers.len() + 1
@@ -228,12 +228,12 @@
     }
 
     fn receive(&mut self, heartbeat: &Heartbeat, from: SocketAddr) {
-        if heartbeat.node == self.arguments.own.name {
+        if heartbeat.node == self.arguments.own_node.name {
             return;
         }
         let now = self.now();
         let known = self.peers.contains_key(&heartbeat.node);
-        let local = heartbeat.data_centre == self.arguments.own.data_centre;
+        let local = heartbeat.data_centre == self.arguments.own_node.data_centre;
         let peer = self.peers.entry(heartbeat.node.clone()).or_insert(Peer {
             address: from,
             local,
@@ -291,7 +291,7 @@
         );
         self.detect_silence(now, intervals);
         let mut due = Vec::new();
-        let is_coordinator = self.coordinators.contains(&self.arguments.own.name);
+        let is_coordinator = self.coordinators.contains(&self.arguments.own_node.name);
         for (name, peer) in &mut self.peers {
             if peer.due > now {
                 continue;
@@ -331,10 +331,10 @@
         let chain = &self.arguments.chain;
         let plan = chain.plan.borrow();
         Heartbeat {
-            node: self.arguments.own.name.clone(),
+            node: self.arguments.own_node.name.clone(),
             incarnation: self.incarnation,
             sequence: self.sequence,
-            data_centre: self.arguments.own.data_centre.clone(),
+            data_centre: self.arguments.own_node.data_centre.clone(),
             generation: plan
                 .as_ref()
                 .map(|plan| plan.generation)
--- a/gateway/src/rpc.rs
+++ b/gateway/src/rpc.rs
@@ -156,7 +156,7 @@
 
 /// Connection to another node, closed when it is dropped.
 pub(crate) struct Connection {
-    /// Client of the other node's directory.
+    /// RPC client of the other node.
     pub(crate) client: directory::Client,
     _driver: JoinSet<Result<(), Error>>,
 }
