--- a/testutils/src/engine.rs
+++ b/testutils/src/engine.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a model engine: continuous batching with a prefix cache.
+//! Stand-in for a model engine: continuous batching with a prefix cache.
 
 mod batch;
 mod cache;
@@ -24,70 +24,72 @@
 
 use self::{
     batch::{Batch, Event, Sequence},
-    format::{Completion, Shape},
+    format::{Api, Completion},
 };
 use crate::server::{
-    Abort, Answer, Body, Service, Switches, json_answer, lock, problem, read_json,
+    Abort, Body, Handled, Observable, Service, error_response, json_response, lock, read_json,
 };
 
-/// Time between two steps of an engine that has nothing to do.
-const IDLE_STEP: Duration = Duration::from_millis(5);
-/// Number of requests that are remembered for the control page.
-const MAX_REMEMBERED: usize = 4096;
-/// Exit code of a crash.
+/// Time between two steps of an engine that has no work.
+const IDLE_STEP_INTERVAL: Duration = Duration::from_millis(5);
+/// Number of most recent requests that the control page lists.
+const MAX_LISTED_REQUESTS: usize = 4096;
+/// Exit code of the process when a prompt contains the crash marker.
 const CRASH_EXIT_CODE: i32 = 70;
 
-/// Point at which a connection is closed.
+/// Point at which the connection of a request is closed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Death {
+pub enum AbortPoint {
     /// Never.
     #[default]
     None,
     /// Before the request starts.
     Before,
-    /// After it started, before the first byte of the answer.
+    /// After it started, before the first byte of the response.
     During,
-    /// After the first bytes of the answer.
+    /// After the first bytes of the response.
     After,
 }
 
-/// What can be switched.
+/// Values that the control page reads and sets.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Positions {
-    /// Models and adapters that are loaded; none accepts any name.
+pub struct Controls {
+    /// Models and adapters that are loaded; if empty, any name is accepted.
     pub models: Vec<String>,
-    /// Prompt tokens computed per second.
+    /// Prompt tokens that are computed per second.
     pub prefill_rate: f64,
-    /// Time of a decoding step.
+    /// Duration of a decoding step in milliseconds.
     pub decode_ms: f64,
-    /// Number of requests that run at a time.
+    /// Maximum number of requests that run at the same time.
     pub max_batch: usize,
-    /// Number of blocks that the prefix cache holds.
+    /// Capacity of the prefix cache in blocks.
     pub cache_blocks: usize,
-    /// Age that reported load can have.
+    /// Maximum age of the reported load in milliseconds.
     pub lag_ms: u64,
-    /// Factor by which every step is slowed down.
+    /// Factor by which the duration of every step is multiplied.
     pub straggle: f64,
-    /// Stops all progress until it is cleared; callers that leave are noticed.
+    /// While set, nothing is computed; cancelled requests are still dropped.
     pub hold: bool,
-    /// Text in a prompt that ends the process, if any.
+    /// Text that ends the process if a prompt contains it; empty for none.
     pub crash_marker: String,
-    /// Point at which connections are closed.
-    pub die: Death,
-    /// Number of the next requests that it applies to.
+    /// Point at which connections are closed, for the next `die_next` requests.
+    pub die: AbortPoint,
+    /// Number of upcoming requests whose connection is closed.
     pub die_next: u64,
-    /// Number of the next streams that end early and without `[DONE]`.
+    /// Number of upcoming streams that end after the first token, without
+    /// `[DONE]`.
     pub cut_next: u64,
-    /// Echoes another `x-request-id` than the request's.
+    /// Whether responses have a different `x-request-id` than their request.
     pub wrong_echo: bool,
-    /// Number of the next cache events that are left out.
+    /// Number of upcoming cache events that are skipped; their numbers are used up.
     pub event_gap_next: u64,
-    /// Says on the load page and in the load header that the engine leaves.
+    /// Whether the load page and the load header report that the engine is
+    /// leaving.
     pub leaving: bool,
 }
 
-impl Default for Positions {
+impl Default for Controls {
     fn default() -> Self {
         Self {
             models: Vec::new(),
@@ -99,7 +101,7 @@
             straggle: 1.0,
             hold: false,
             crash_marker: String::new(),
-            die: Death::None,
+            die: AbortPoint::None,
             die_next: 0,
             cut_next: 0,
             wrong_echo: false,
@@ -109,88 +111,91 @@
     }
 }
 
-/// The model engine.
+/// The stand-in for a model engine.
 #[derive(Debug)]
 pub struct Engine {
-    switches: Switches<Positions>,
+    controls: Observable<Controls>,
     batch: Mutex<Batch>,
+    /// The load that was reported last, and when it was taken.
     load: Mutex<Option<(Instant, batch::Load)>>,
+    /// The most recent requests, for the control page.
     requests: Mutex<VecDeque<Value>>,
-    events: watch::Sender<u64>,
+    /// Number of the last cache event.
+    last_event: watch::Sender<u64>,
 }
 
 impl Engine {
-    /// Starts the batch; to be called inside a runtime.
+    /// Spawns the task that runs the batch; must be called inside a Tokio runtime.
     #[must_use]
     pub fn start() -> Arc<Self> {
         let engine = Arc::new(Self {
-            switches: Switches::default(),
+            controls: Observable::default(),
             batch: Mutex::default(),
             load: Mutex::default(),
             requests: Mutex::default(),
-            events: watch::Sender::new(0),
+            last_event: watch::Sender::new(0),
         });
         let weak = Arc::downgrade(&engine);
         tokio::spawn(async move {
             while let Some(engine) = weak.upgrade() {
-                let span = engine.step();
+                let duration = engine.step();
                 drop(engine);
-                sleep(span).await;
+                sleep(duration).await;
             }
         });
         engine
     }
 
-    /// Runs one step of the batch and returns the time that it takes.
+    /// Runs one step of the batch and returns the time until the next one.
     fn step(&self) -> Duration {
-        let positions = self.switches.get();
+        let controls = self.controls.get();
         let mut batch = lock(&self.batch);
-        let span = batch.step(&positions);
-        let gap = batch.cache.take_gap();
-        self.events.send_replace(batch.cache.last_event());
+        let duration = batch.step(&controls);
+        let skipped = batch.cache.take_skipped();
+        self.last_event.send_replace(batch.cache.last_event());
         drop(batch);
-        if gap > 0 {
-            self.switches
-                .modify(|at| at.event_gap_next = at.event_gap_next.saturating_sub(gap));
+        if skipped > 0 {
+            self.controls
+                .modify(|c| c.event_gap_next = c.event_gap_next.saturating_sub(skipped));
         }
-        span.unwrap_or(IDLE_STEP)
+        duration.unwrap_or(IDLE_STEP_INTERVAL)
     }
 
-    /// Returns the load as it was at most the lag ago.
-    fn reported(&self, positions: &Positions) -> Value {
-        let lag = Duration::from_millis(positions.lag_ms);
+    /// Returns the load, which may be up to `lag_ms` old.
+    fn reported_load(&self, controls: &Controls) -> Value {
+        let lag = Duration::from_millis(controls.lag_ms);
         let mut load = lock(&self.load);
         let now = Instant::now();
-        let fresh = load
+        let report = load
             .filter(|(taken, _)| now.duration_since(*taken) < lag)
             .unwrap_or_else(|| (now, lock(&self.batch).load()));
-        *load = Some(fresh);
+        *load = Some(report);
         let batch::Load {
             running,
             waiting,
             tokens,
-        } = fresh.1;
+        } = report.1;
         json!({"running": running, "waiting": waiting, "tokens": tokens})
     }
 
     fn load_page(&self) -> Value {
-        let positions = self.switches.get();
-        let mut load = self.reported(&positions);
-        load["models"] = json!(positions.models);
-        load["state"] = json!(if positions.leaving { "leaving" } else { "live" });
+        let controls = self.controls.get();
+        let mut load = self.reported_load(&controls);
+        load["models"] = json!(controls.models);
+        load["state"] = json!(if controls.leaving { "leaving" } else { "live" });
         load
     }
 
-    fn load_header(&self, positions: &Positions) -> HeaderValue {
-        let mut metrics = self.reported(positions);
-        metrics["leaving"] = json!(u8::from(positions.leaving));
+    fn load_header(&self, controls: &Controls) -> HeaderValue {
+        let mut metrics = self.reported_load(controls);
+        metrics["leaving"] = json!(u8::from(controls.leaving));
         let text = format!("JSON {}", json!({"named_metrics": metrics}));
         HeaderValue::from_str(&text).expect("JSON of numbers is a valid header")
     }
 
-    fn remember(&self, id: &str, completion: &Completion) {
+    fn list_request(&self, id: &str, completion: &Completion) {
         let mut requests = lock(&self.requests);
-        if requests.len() == MAX_REMEMBERED {
+        if requests.len() == MAX_LISTED_REQUESTS {
             requests.pop_front();
         }
         requests.push_back(json!({
@@ -200,46 +205,46 @@
         }));
     }
 
-    async fn complete(&self, shape: Shape, request: Request<Incoming>) -> Answer {
-        let echo = request.headers().get("x-request-id").cloned();
-        let id = echo
+    async fn complete(&self, api: Api, request: Request<Incoming>) -> Handled {
+        let request_id = request.headers().get("x-request-id").cloned();
+        let id = request_id
             .as_ref()
             .and_then(|value| value.to_str().ok())
             .unwrap_or_default()
             .to_owned();
         let completion: Completion = match read_json(request).await {
             Ok(completion) => completion,
-            Err(answer) => return Ok(answer),
+            Err(response) => return Ok(response),
         };
-        self.remember(&id, &completion);
-        let positions = self.switches.get();
-        if !positions.models.is_empty() && !positions.models.contains(&completion.model) {
-            return Ok(problem(StatusCode::NOT_FOUND, "this model is not loaded"));
+        self.list_request(&id, &completion);
+        let controls = self.controls.get();
+        if !controls.models.is_empty() && !controls.models.contains(&completion.model) {
+            return Ok(error_response(StatusCode::NOT_FOUND, "model not loaded"));
         }
-        let death = self.switches.modify(take_death);
-        if death == Death::Before {
+        let abort_point = self.controls.modify(take_abort_point);
+        if abort_point == AbortPoint::Before {
             return Err(Abort);
         }
         let (sender, mut events) = mpsc::unbounded_channel();
         lock(&self.batch).enqueue(Sequence::new(&completion, sender));
-        if death == Death::During {
+        if abort_point == AbortPoint::During {
             events.recv().await;
             return Err(Abort);
         }
-        let mut answer = if completion.stream {
-            let cut = self.switches.modify(take_cut);
-            stream_answer(shape, completion, events, death, cut).await
+        let mut response = if completion.stream {
+            let cut = self.controls.modify(take_cut);
+            stream_response(api, completion, events, abort_point, cut).await
         } else {
-            plain_answer(shape, &completion, events, death).await?
+            buffered_response(api, &completion, events, abort_point).await?
         };
-        let headers = answer.headers_mut();
-        headers.insert("endpoint-load-metrics", self.load_header(&positions));
-        if positions.wrong_echo {
+        let headers = response.headers_mut();
+        headers.insert("endpoint-load-metrics", self.load_header(&controls));
+        if controls.wrong_echo {
             headers.insert("x-request-id", HeaderValue::from_static("another-1"));
-        } else if let Some(echo) = echo {
-            headers.insert("x-request-id", echo);
+        } else if let Some(request_id) = request_id {
+            headers.insert("x-request-id", request_id);
         }
-        Ok(answer)
+        Ok(response)
     }
 
     fn cache_events(self: Arc<Self>, query: &str) -> Response<Body> {
@@ -249,7 +254,7 @@
                 from = number.parse().unwrap_or(1);
             }
         }
-        let state = (self.events.subscribe(), from, self);
+        let state = (self.last_event.subscribe(), from, self);
         let frames = stream::unfold(state, |(mut last, from, engine)| async move {
             last.wait_for(|last| *last >= from).await.ok()?;
             let (text, next) = lock(&engine.batch).cache.events(from);
@@ -260,65 +265,68 @@
     }
 }
 
-fn take_death(positions: &mut Positions) -> Death {
-    if positions.die_next == 0 {
-        return Death::None;
+/// Returns the point at which the next request's connection is closed.
+fn take_abort_point(controls: &mut Controls) -> AbortPoint {
+    if controls.die_next == 0 {
+        return AbortPoint::None;
     }
-    positions.die_next -= 1;
-    positions.die
+    controls.die_next -= 1;
+    controls.die
 }
 
-fn take_cut(positions: &mut Positions) -> bool {
-    let any = positions.cut_next > 0;
-    positions.cut_next = positions.cut_next.saturating_sub(1);
+/// Returns whether the next stream ends early.
+fn take_cut(controls: &mut Controls) -> bool {
+    let any = controls.cut_next > 0;
+    controls.cut_next = controls.cut_next.saturating_sub(1);
     any
 }
 
 fn event_stream(body: Body) -> Response<Body> {
-    let mut answer = Response::new(body);
-    answer.headers_mut().insert(
+    let mut response = Response::new(body);
+    response.headers_mut().insert(
         header::CONTENT_TYPE,
         HeaderValue::from_static("text/event-stream"),
     );
-    answer
+    response
 }
 
-/// Answers with server-sent events; the head waits for the first token.
-async fn stream_answer(
-    shape: Shape,
+/// Builds a response of server-sent events; waits for the first token before
+/// it returns the head.
+async fn stream_response(
+    api: Api,
     completion: Completion,
     mut events: mpsc::UnboundedReceiver<Event>,
-    death: Death,
+    abort_point: AbortPoint,
     cut: bool,
 ) -> Response<Body> {
     let first = loop {
         match events.recv().await {
             Some(Event::Started) => {}
-            other => break other,
+            first => break first,
         }
     };
     let state = (events, first, completion, false);
     let texts = stream::unfold(
         state,
-        move |(mut events, first, completion, over)| async move {
-            if over {
+        move |(mut events, first, completion, finished)| async move {
+            if finished {
                 return None;
             }
             let event = match first {
                 Some(event) => event,
                 None => events.recv().await?,
             };
-            let over = cut || matches!(event, Event::Done(_));
+            let finished = cut || matches!(event, Event::Done(_));
             let text = match event {
                 Event::Started => String::new(),
-                Event::Token(text) => format::chunk(shape, &completion, &text),
-                Event::Done(usage) => format::last_chunk(shape, &completion, &usage),
+                Event::Token(text) => format::chunk(api, &completion, &text),
+                Event::Done(usage) => format::last_chunk(api, &completion, &usage),
             };
-            Some((text, (events, None, completion, over)))
+            Some((text, (events, None, completion, finished)))
         },
     );
     let frames = texts.map(|text| Ok(Frame::data(Bytes::from(text))));
-    let body = if death == Death::After {
+    let body = if abort_point == AbortPoint::After {
         let aborted = stream::once(async { Err(Abort) });
         StreamBody::new(frames.take(1).chain(aborted)).boxed_unsync()
     } else {
@@ -327,13 +335,13 @@
     event_stream(body)
 }
 
-/// Answers with one JSON document.
-async fn plain_answer(
-    shape: Shape,
+/// Builds a response of one JSON document, after the last token.
+async fn buffered_response(
+    api: Api,
     completion: &Completion,
     mut events: mpsc::UnboundedReceiver<Event>,
-    death: Death,
-) -> Answer {
+    abort_point: AbortPoint,
+) -> Handled {
     let mut text = String::new();
     let usage = loop {
         match events.recv().await {
@@ -343,21 +351,23 @@
             None => return Err(Abort),
         }
     };
-    let whole = format::whole(shape, completion, &text, &usage);
-    if death != Death::After {
-        return Ok(json_answer(StatusCode::OK, &whole));
+    let document = format::response(api, completion, &text, &usage);
+    if abort_point != AbortPoint::After {
+        return Ok(json_response(StatusCode::OK, &document));
     }
-    let half = whole.to_string().split_off(whole.to_string().len() / 2);
+    let half = document
+        .to_string()
+        .split_off(document.to_string().len() / 2);
     let frames = [Ok(Frame::data(Bytes::from(half))), Err(Abort)];
     let body = StreamBody::new(stream::iter(frames)).boxed_unsync();
     Ok(Response::new(body))
 }
 
 impl Service for Engine {
-    type Switches = Positions;
+    type Controls = Controls;
 
-    fn switches(&self) -> &Switches<Positions> {
-        &self.switches
+    fn controls(&self) -> &Observable<Controls> {
+        &self.controls
     }
 
     fn counts(&self) -> Value {
@@ -366,16 +376,19 @@
         counts
     }
 
-    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Answer {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Handled {
         match request.uri().path() {
-            "/load" => Ok(json_answer(StatusCode::OK, &self.load_page())),
+            "/load" => Ok(json_response(StatusCode::OK, &self.load_page())),
             "/cache/events" => {
                 let query = request.uri().query().unwrap_or_default().to_owned();
                 Ok(self.cache_events(&query))
             }
-            "/v1/chat/completions" => self.complete(Shape::Chat, request).await,
-            "/v1/completions" => self.complete(Shape::Text, request).await,
-            _ => Ok(problem(StatusCode::NOT_FOUND, "an engine has no such path")),
+            "/v1/chat/completions" => self.complete(Api::Chat, request).await,
+            "/v1/completions" => self.complete(Api::Text, request).await,
+            _ => Ok(error_response(
+                StatusCode::NOT_FOUND,
+                "not found; an engine has no such path",
+            )),
         }
     }
 }
--- a/testutils/src/engine/batch.rs
+++ b/testutils/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! The batch of an engine.
+//! Continuous batching: the requests that an engine runs and queues.
 
 use std::{collections::VecDeque, process, time::Duration};
 
@@ -7,41 +7,43 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 use super::{
-    CRASH_EXIT_CODE, Positions,
+    CRASH_EXIT_CODE, Controls,
     cache::Cache,
     format::{self, BYTES_PER_TOKEN, Completion, Usage},
 };
 
-/// Prompt tokens that one step computes at the most.
-const MAX_CHUNK_TOKENS: u64 = 512;
-/// Prompt tokens of one block of the prefix cache.
+/// Maximum number of prompt tokens that are computed in one step.
+const MAX_PREFILL_CHUNK_TOKENS: u64 = 512;
+/// Number of prompt tokens in one block of the prefix cache.
 const TOKENS_PER_BLOCK: u64 = (prefix::BLOCK_BYTES / BYTES_PER_TOKEN) as u64;
 
-/// What a request hears of its progress.
+/// Progress of a request.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// It got a place in the batch.
+    /// The request joined the batch.
     Started,
-    /// One token of its answer.
+    /// One token of the completion.
     Token(String),
-    /// It is finished.
+    /// The completion is finished.
     Done(Usage),
 }
 
-/// One request.
+/// One request in the batch or in its queue.
 #[derive(Debug)]
 pub struct Sequence {
     prompt: String,
     digest: String,
     prefixes: Vec<Prefix>,
     usage: Usage,
+    /// Number of prompt tokens still to be computed.
     prefill_left: u64,
+    /// Number of tokens that were generated and sent.
     sent: u64,
     events: UnboundedSender<Event>,
 }
 
 impl Sequence {
-    /// Prepares a request.
+    /// Creates a request that reports its progress to `events`.
     pub fn new(completion: &Completion, events: UnboundedSender<Event>) -> Self {
         let prompt = completion.prompt();
         let tokens = prompt.len().div_ceil(BYTES_PER_TOKEN) as u64;
@@ -52,7 +54,7 @@
             usage: Usage {
                 prompt: tokens,
                 cached: 0,
-                output: completion.output(),
+                output: completion.output_tokens(),
             },
             prefill_left: tokens,
             sent: 0,
@@ -60,8 +62,8 @@
         }
     }
 
-    /// Sends the next token and returns whether it was the last.
-    fn advance(&mut self) -> bool {
+    /// Generates and sends the next token; returns whether it was the last.
+    fn send_token(&mut self) -> bool {
         let token = format::token(&self.digest, self.sent);
         let _ = self.events.send(Event::Token(token));
         self.sent += 1;
@@ -73,18 +75,18 @@
     }
 }
 
-/// Load at one moment.
+/// Load at a point in time.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    /// Requests in the batch.
+    /// Number of requests in the batch.
     pub running: usize,
-    /// Requests that wait for a place.
+    /// Number of requests that wait to join the batch.
     pub waiting: usize,
-    /// Tokens of all of them.
+    /// Number of prompt and generated tokens of all these requests.
     pub tokens: u64,
 }
 
-/// Requests that run and wait.
+/// Requests that run or wait, and counters of all requests.
 #[derive(Debug, Default)]
 pub struct Batch {
     /// The prefix cache.
@@ -95,30 +97,33 @@
     started: u64,
     finished: u64,
     cancelled: u64,
-    computed: u64,
-    cached: u64,
+    prompt_tokens_computed: u64,
+    prompt_tokens_cached: u64,
 }
 
 impl Batch {
-    /// Adds a request.
+    /// Adds a request to the queue.
     pub fn enqueue(&mut self, sequence: Sequence) {
         self.received += 1;
         self.waiting.push_back(sequence);
     }
 
-    /// Runs one step; returns its time, or nothing if there was no work.
-    pub fn step(&mut self, positions: &Positions) -> Option<Duration> {
+    /// Runs one step; returns its duration, or `None` if there was no work.
+    pub fn step(&mut self, controls: &Controls) -> Option<Duration> {
         self.drop_cancelled();
-        self.cache.leave_out(positions.event_gap_next);
-        self.fill(positions);
-        if positions.hold || self.running.is_empty() {
+        self.cache.skip_events(controls.event_gap_next);
+        self.start_waiting(controls);
+        if controls.hold || self.running.is_empty() {
             return None;
         }
-        let mut millis = self.decode(positions.decode_ms);
-        millis += self.prefill(positions);
-        Some(Duration::from_secs_f64(millis * positions.straggle / 1e3))
+        let mut duration_ms = self.decode(controls.decode_ms);
+        duration_ms += self.prefill(controls);
+        Some(Duration::from_secs_f64(
+            duration_ms * controls.straggle / 1e3,
+        ))
     }
 
+    /// Drops the requests whose client has disconnected.
     fn drop_cancelled(&mut self) {
         let before = self.running.len() + self.waiting.len();
         self.running.retain(|sequence| !sequence.events.is_closed());
@@ -127,12 +132,13 @@
         self.cancelled += (before - after) as u64;
     }
 
-    fn fill(&mut self, positions: &Positions) {
-        while self.running.len() < positions.max_batch {
+    /// Moves waiting requests into the batch while it has room.
+    fn start_waiting(&mut self, controls: &Controls) {
+        while self.running.len() < controls.max_batch {
             let Some(mut sequence) = self.waiting.pop_front() else {
                 return;
             };
-            let marker = &positions.crash_marker;
+            let marker = &controls.crash_marker;
             if !marker.is_empty() && sequence.prompt.contains(marker) {
                 process::exit(CRASH_EXIT_CODE);
             }
@@ -140,52 +146,54 @@
             let cached = (blocks * TOKENS_PER_BLOCK).min(sequence.usage.prompt);
             sequence.usage.cached = cached;
             sequence.prefill_left -= cached;
-            self.cached += cached;
+            self.prompt_tokens_cached += cached;
             self.started += 1;
             let _ = sequence.events.send(Event::Started);
             self.running.push(sequence);
         }
     }
 
-    /// Sends one token of each request whose prompt is computed.
-    fn decode(&mut self, step_millis: f64) -> f64 {
-        let mut millis = 0.0;
-        let mut kept = Vec::new();
+    /// Sends one token of each request whose prompt is computed; returns the
+    /// duration in milliseconds.
+    fn decode(&mut self, step_ms: f64) -> f64 {
+        let mut duration_ms = 0.0;
+        let mut unfinished = Vec::new();
         for mut sequence in self.running.drain(..) {
             if sequence.prefill_left > 0 {
-                kept.push(sequence);
+                unfinished.push(sequence);
                 continue;
             }
-            millis = step_millis;
-            if sequence.advance() {
+            duration_ms = step_ms;
+            if sequence.send_token() {
                 self.finished += 1;
                 continue;
             }
-            kept.push(sequence);
+            unfinished.push(sequence);
         }
-        self.running = kept;
-        millis
+        self.running = unfinished;
+        duration_ms
     }
 
-    /// Computes a part of the first prompt that needs it.
-    fn prefill(&mut self, positions: &Positions) -> f64 {
+    /// Computes the next chunk of the first incomplete prompt; returns the
+    /// duration in milliseconds.
+    fn prefill(&mut self, controls: &Controls) -> f64 {
         for sequence in &mut self.running {
             if sequence.prefill_left == 0 {
                 continue;
             }
-            let chunk = sequence.prefill_left.min(MAX_CHUNK_TOKENS);
+            let chunk = sequence.prefill_left.min(MAX_PREFILL_CHUNK_TOKENS);
             sequence.prefill_left -= chunk;
-            self.computed += chunk;
+            self.prompt_tokens_computed += chunk;
             if sequence.prefill_left == 0 {
-                self.cache.store(&sequence.prefixes, positions.cache_blocks);
+                self.cache.store(&sequence.prefixes, controls.cache_blocks);
             }
             #[expect(clippy::cast_precision_loss, reason = "a chunk is small")]
-            return chunk as f64 * 1e3 / positions.prefill_rate;
+            return chunk as f64 * 1e3 / controls.prefill_rate;
         }
         0.0
     }
 
-    /// Returns the load at this moment.
+    /// Returns the current load.
     pub fn load(&self) -> Load {
         let mut tokens = 0;
         for sequence in self.running.iter().chain(&self.waiting) {
@@ -198,15 +206,15 @@
         }
     }
 
-    /// Returns what has been counted.
+    /// Returns the counters, for the control page.
     pub fn counts(&self) -> Value {
         json!({
             "received": self.received,
             "started": self.started,
             "finished": self.finished,
             "cancelled": self.cancelled,
-            "prompt_tokens_computed": self.computed,
-            "prompt_tokens_cached": self.cached,
+            "prompt_tokens_computed": self.prompt_tokens_computed,
+            "prompt_tokens_cached": self.prompt_tokens_cached,
             "running": self.running.len(),
             "waiting": self.waiting.len(),
         })
--- a/testutils/src/engine/cache.rs
+++ b/testutils/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! A bounded cache of prompt prefixes that reports its changes.
+//! A bounded cache of prompt prefixes that records its changes as events.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -8,80 +8,88 @@
 use dottereltally_lib::id::Prefix;
 use serde_json::{Value, json};
 
-/// Number of events that are kept for readers who come later.
-const MAX_EVENTS: usize = 8192;
+/// Number of most recent events that are kept for later readers.
+const MAX_KEPT_EVENTS: usize = 8192;
 
-/// Least recently used prefixes make room for new ones.
+/// A cache of prefixes that evicts the least recently used ones.
 #[derive(Debug, Default)]
 pub struct Cache {
-    used: HashMap<Prefix, u64>,
-    order: BTreeMap<u64, Prefix>,
+    /// Time of the last use of each prefix, by `clock`.
+    last_use: HashMap<Prefix, u64>,
+    /// The prefixes in order of their last use.
+    by_last_use: BTreeMap<u64, Prefix>,
+    /// Logical clock that advances with every use.
     clock: u64,
+    /// The most recent events with their numbers.
     events: VecDeque<(u64, Value)>,
     last_event: u64,
-    gap_left: u64,
-    gap_taken: u64,
+    /// Number of upcoming events to skip.
+    events_to_skip: u64,
+    /// Number of events skipped since the last call of `take_skipped`.
+    skipped: u64,
 }
 
 impl Cache {
-    /// Returns the number of leading blocks that are held.
+    /// Returns how many of the prefixes, from the shortest on, are cached without
+    /// a gap; marks these as used.
     pub fn lookup(&mut self, prefixes: &[Prefix]) -> usize {
-        let mut held = 0;
+        let mut found = 0;
         for prefix in prefixes {
-            if !self.used.contains_key(prefix) {
+            if !self.last_use.contains_key(prefix) {
                 break;
             }
             self.touch(*prefix);
-            held += 1;
+            found += 1;
         }
-        held
+        found
     }
 
-    /// Stores prefixes and evicts others beyond the capacity.
+    /// Stores prefixes and evicts the least recently used ones beyond the
+    /// capacity.
     pub fn store(&mut self, prefixes: &[Prefix], capacity: usize) {
         for prefix in prefixes {
-            if !self.used.contains_key(prefix) {
-                self.report(json!({"stored": prefix.to_string()}));
+            if !self.last_use.contains_key(prefix) {
+                self.record_event(json!({"stored": prefix.to_string()}));
             }
             self.touch(*prefix);
         }
-        while self.used.len() > capacity {
-            let Some((_, prefix)) = self.order.pop_first() else {
+        while self.last_use.len() > capacity {
+            let Some((_, prefix)) = self.by_last_use.pop_first() else {
                 break;
             };
-            self.used.remove(&prefix);
-            self.report(json!({"removed": prefix.to_string()}));
+            self.last_use.remove(&prefix);
+            self.record_event(json!({"removed": prefix.to_string()}));
         }
     }
 
     fn touch(&mut self, prefix: Prefix) {
         self.clock += 1;
-        if let Some(before) = self.used.insert(prefix, self.clock) {
-            self.order.remove(&before);
+        if let Some(previous) = self.last_use.insert(prefix, self.clock) {
+            self.by_last_use.remove(&previous);
         }
-        self.order.insert(self.clock, prefix);
+        self.by_last_use.insert(self.clock, prefix);
     }
 
-    /// Leaves out that many of the next events.
-    pub const fn leave_out(&mut self, events: u64) {
-        self.gap_left = events;
+    /// Skips this many upcoming events; replaces the number set before.
+    pub const fn skip_events(&mut self, count: u64) {
+        self.events_to_skip = count;
     }
 
-    /// Returns how many events have been left out since the last call.
-    pub const fn take_gap(&mut self) -> u64 {
-        let taken = self.gap_taken;
-        self.gap_taken = 0;
-        taken
+    /// Returns how many events were skipped since the last call.
+    pub const fn take_skipped(&mut self) -> u64 {
+        let skipped = self.skipped;
+        self.skipped = 0;
+        skipped
     }
 
-    fn report(&mut self, event: Value) {
+    fn record_event(&mut self, event: Value) {
         self.last_event += 1;
-        if self.gap_left > 0 {
-            self.gap_left -= 1;
-            self.gap_taken += 1;
+        if self.events_to_skip > 0 {
+            self.events_to_skip -= 1;
+            self.skipped += 1;
             return;
         }
-        if self.events.len() == MAX_EVENTS {
+        if self.events.len() == MAX_KEPT_EVENTS {
             self.events.pop_front();
         }
         self.events.push_back((self.last_event, event));
@@ -92,7 +100,8 @@
         self.last_event
     }
 
-    /// Encodes the events from a number on; returns the number that follows.
+    /// Encodes the events from number `from` on as server-sent events; also
+    /// returns the number of the next event.
     pub fn events(&self, from: u64) -> (String, u64) {
         let mut text = String::new();
         for (number, event) in &self.events {
--- a/testutils/src/engine/format.rs
+++ b/testutils/src/engine/format.rs
@@ -1,4 +1,4 @@
-//! Requests and answers in the `OpenAI` format.
+//! Requests and responses in the `OpenAI` format.
 
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -6,12 +6,12 @@
 
 /// Bytes of text that count as one token.
 pub const BYTES_PER_TOKEN: usize = 4;
-/// Number of tokens of an answer if the request does not say.
+/// Number of tokens of a completion if the request does not set `max_tokens`.
 const DEFAULT_MAX_TOKENS: u64 = 16;
 
-/// Which of the two paths a request took.
+/// API of a request, which determines the format of its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shape {
+pub enum Api {
     /// `/v1/chat/completions`.
     Chat,
     /// `/v1/completions`.
@@ -21,33 +21,34 @@
 /// One message of a chat.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Message {
-    /// Its text.
+    /// Text of the message.
     #[serde(default)]
     pub content: String,
 }
 
-/// A request.
+/// A completion request of either API.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Completion {
-    /// Model or adapter.
+    /// Name of the model or adapter.
     #[serde(default)]
     pub model: String,
     /// Messages of a chat.
     #[serde(default)]
     pub messages: Vec<Message>,
-    /// Prompt of a plain completion.
+    /// Prompt of a text completion.
     #[serde(default)]
     prompt: String,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     #[serde(default)]
     pub stream: bool,
-    /// Number of tokens of the answer.
+    /// Number of tokens to generate.
     #[serde(default, alias = "max_completion_tokens")]
     max_tokens: Option<u64>,
 }
 
 impl Completion {
-    /// Returns the text that is computed.
+    /// Returns the prompt: that of a text completion, or the chat's messages,
+    /// joined by newlines.
     #[must_use]
     pub fn prompt(&self) -> String {
         if self.messages.is_empty() {
@@ -60,26 +61,26 @@
         texts.join("\n")
     }
 
-    /// Returns the number of tokens of the answer.
+    /// Returns the number of tokens to generate, at least one.
     #[must_use]
-    pub fn output(&self) -> u64 {
+    pub fn output_tokens(&self) -> u64 {
         self.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS).max(1)
     }
 }
 
-/// What a request took.
+/// Token usage of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt: u64,
-    /// Those of them that were cached.
+    /// Number of prompt tokens that were found in the prefix cache.
     pub cached: u64,
-    /// Tokens of the answer.
+    /// Number of tokens of the completion.
     pub output: u64,
 }
 
 impl Usage {
-    fn value(self) -> Value {
+    fn to_json(self) -> Value {
         json!({
             "prompt_tokens": self.prompt,
             "completion_tokens": self.output,
@@ -89,19 +90,20 @@
     }
 }
 
-/// Returns a short name of a prompt, by which its answer can be told.
+/// Returns a hash of a prompt; the tokens of the completion contain it, so that
+/// tests can tell which prompt was completed.
 #[must_use]
 pub fn digest(prompt: &str) -> String {
     format!("{:016x}", xxh3::xxh3_64(prompt.as_bytes()))
 }
 
-/// Returns one token of the answer to a prompt.
+/// Returns one token of the completion of the prompt with this digest.
 #[must_use]
 pub fn token(digest: &str, number: u64) -> String {
     format!("{digest}.{number} ")
 }
 
-/// Returns the whole text of the answer to a prompt.
+/// Returns the text with which a prompt is completed.
 #[must_use]
 pub fn text(prompt: &str, tokens: u64) -> String {
     let digest = digest(prompt);
@@ -112,39 +114,42 @@
     text
 }
 
-fn event(shape: Shape, completion: &Completion, text: &str, finish: Value) -> Value {
-    let (object, mut choice) = match shape {
-        Shape::Chat => ("chat.completion.chunk", json!({"delta": {"content": text}})),
-        Shape::Text => ("text_completion", json!({"text": text})),
+fn chunk_json(api: Api, completion: &Completion, text: &str, finish_reason: Value) -> Value {
+    let (object, mut choice) = match api {
+        Api::Chat => ("chat.completion.chunk", json!({"delta": {"content": text}})),
+        Api::Text => ("text_completion", json!({"text": text})),
     };
     choice["index"] = json!(0);
-    choice["finish_reason"] = finish;
+    choice["finish_reason"] = finish_reason;
     json!({"object": object, "model": completion.model, "choices": [choice]})
 }
 
 /// Encodes one token as a server-sent event.
 #[must_use]
-pub fn chunk(shape: Shape, completion: &Completion, text: &str) -> String {
-    format!("data: {}\n\n", event(shape, completion, text, Value::Null))
+pub fn chunk(api: Api, completion: &Completion, text: &str) -> String {
+    format!(
+        "data: {}\n\n",
+        chunk_json(api, completion, text, Value::Null)
+    )
 }
 
-/// Encodes the events that end a stream.
+/// Encodes the server-sent events that end a stream.
 #[must_use]
-pub fn last_chunk(shape: Shape, completion: &Completion, usage: &Usage) -> String {
-    let mut last = event(shape, completion, "", json!("length"));
-    last["usage"] = usage.value();
+pub fn last_chunk(api: Api, completion: &Completion, usage: &Usage) -> String {
+    let mut last = chunk_json(api, completion, "", json!("length"));
+    last["usage"] = usage.to_json();
     format!("data: {last}\n\ndata: [DONE]\n\n")
 }
 
-/// Builds an answer that is not streamed.
+/// Builds the body of a response that is not streamed.
 #[must_use]
-pub fn whole(shape: Shape, completion: &Completion, text: &str, usage: &Usage) -> Value {
-    let (object, mut choice) = match shape {
-        Shape::Chat => (
+pub fn response(api: Api, completion: &Completion, text: &str, usage: &Usage) -> Value {
+    let (object, mut choice) = match api {
+        Api::Chat => (
             "chat.completion",
             json!({"message": {"role": "assistant", "content": text}}),
         ),
-        Shape::Text => ("text_completion", json!({"text": text})),
+        Api::Text => ("text_completion", json!({"text": text})),
     };
     choice["index"] = json!(0);
     choice["finish_reason"] = json!("length");
@@ -152,6 +157,6 @@
         "object": object,
         "model": completion.model,
         "choices": [choice],
-        "usage": usage.value(),
+        "usage": usage.to_json(),
     })
 }
--- a/testutils/src/host_list.rs
+++ b/testutils/src/host_list.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the host list.
+//! Stand-in for the host list.
 
 use std::{
     sync::{Arc, Mutex},
@@ -10,68 +10,75 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use crate::server::{Answer, Service, Switches, json_answer, lock, problem};
+use crate::server::{Handled, Observable, Service, error_response, json_response, lock};
 
-/// Path of the list.
+/// Path at which the list is served.
 pub const PATH: &str = "/hosts";
 
-/// What can be switched.
+/// Values that the control page reads and sets.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Positions {
-    /// The list.
+pub struct Controls {
+    /// The target groups of the list.
     pub groups: Vec<Value>,
-    /// Time until a change of the list shows.
+    /// Time until a change of `groups` is published, in milliseconds.
     pub lag_ms: u64,
 }
 
-/// What is shown, and since when something else should be.
+/// The published list, and a change that waits for the lag to pass.
 #[derive(Debug, Default)]
-struct Shown {
+struct Published {
     groups: Vec<Value>,
-    next: Option<(Instant, Vec<Value>)>,
+    /// When the change takes effect, and the list from then on.
+    pending: Option<(Instant, Vec<Value>)>,
     reads: u64,
 }
 
 /// The host list.
 #[derive(Debug, Default)]
 pub struct HostList {
-    switches: Switches<Positions>,
-    shown: Mutex<Shown>,
+    controls: Observable<Controls>,
+    published: Mutex<Published>,
 }
 
 impl HostList {
     fn read(&self) -> Value {
-        let positions = self.switches.get();
-        let lag = Duration::from_millis(positions.lag_ms);
+        let controls = self.controls.get();
+        let lag = Duration::from_millis(controls.lag_ms);
         let now = Instant::now();
-        let mut shown = lock(&self.shown);
-        shown.reads += 1;
-        let newest = shown.next.as_ref().map_or(&shown.groups, |next| &next.1);
-        if *newest != positions.groups {
-            shown.next = Some((now + lag, positions.groups));
+        let mut published = lock(&self.published);
+        published.reads += 1;
+        let latest = published
+            .pending
+            .as_ref()
+            .map_or(&published.groups, |pending| &pending.1);
+        if *latest != controls.groups {
+            published.pending = Some((now + lag, controls.groups));
         }
-        if let Some((_, groups)) = shown.next.take_if(|next| next.0 <= now) {
-            shown.groups = groups;
+        if let Some((_, groups)) = published.pending.take_if(|pending| pending.0 <= now) {
+            published.groups = groups;
         }
-        Value::Array(shown.groups.clone())
+        Value::Array(published.groups.clone())
     }
 }
 
 impl Service for HostList {
-    type Switches = Positions;
+    type Controls = Controls;
 
-    fn switches(&self) -> &Switches<Positions> {
-        &self.switches
+    fn controls(&self) -> &Observable<Controls> {
+        &self.controls
     }
 
     fn counts(&self) -> Value {
-        json!({"reads": lock(&self.shown).reads})
+        json!({"reads": lock(&self.published).reads})
     }
 
-    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Answer {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Handled {
         if request.uri().path() != PATH {
-            return Ok(problem(StatusCode::NOT_FOUND, "the list is at /hosts"));
+            return Ok(error_response(
+                StatusCode::NOT_FOUND,
+                "not found; the host list is at /hosts",
+            ));
         }
-        Ok(json_answer(StatusCode::OK, &self.read()))
+        Ok(json_response(StatusCode::OK, &self.read()))
     }
 }
--- a/testutils/src/kv.rs
+++ b/testutils/src/kv.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the key-value service: the JSON gateway of etcd v3.
+//! Stand-in for the key-value service: the JSON gateway of etcd v3.
 
 mod store;
 mod wire;
@@ -18,45 +18,50 @@
 use serde_json::{Value, json};
 use tokio::{sync::watch, time::sleep};
 
-use self::store::{Fault, Store};
-use crate::server::{Abort, Answer, Body, Service, Switches, json_answer, lock, read_json};
+use self::store::{Error, Store};
+use crate::server::{Abort, Body, Handled, Observable, Service, json_response, lock, read_json};
 
-/// Time between two looks for lapsed leases.
+/// Time between two checks for expired leases.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What can be switched.
+/// Values that the control page reads and sets.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Positions {
-    /// Number of the next transactions with writes whose answers are lost
-    /// after they took effect.
+pub struct Controls {
+    /// Number of upcoming transactions with writes that take effect but whose
+    /// connection is closed before the response.
     pub lose_answers: u64,
-    /// Number of the next transactions that are closed before they run.
+    /// Number of upcoming transactions whose connection is closed before they
+    /// run.
     pub lose_requests: u64,
-    /// Keeps transactions from running until it is cleared.
+    /// While set, transactions wait before they run.
     pub hold_before: bool,
-    /// Keeps the answers of transactions that ran until it is cleared.
+    /// While set, responses to transactions that ran are held back.
     pub hold_after: bool,
-    /// Keeps watches open but reports nothing.
+    /// While set, watches stay open but send no events.
     pub watch_silent: bool,
-    /// Number of revisions by which calls that write nothing lie behind.
+    /// Number of revisions by which range reads and read-only transactions are
+    /// out of date.
     pub stale_by: i64,
 }
 
-/// The key-value service.
+/// The stand-in for the key-value service.
 #[derive(Debug)]
 pub struct Kv {
-    switches: Switches<Positions>,
+    controls: Observable<Controls>,
     store: Mutex<Store>,
+    /// The store's revision, to wake watches.
     revision: watch::Sender<i64>,
+    /// Number of calls by path.
     calls: Mutex<BTreeMap<String, u64>>,
 }
 
 impl Kv {
-    /// Starts the lapse of leases; to be called inside a runtime.
+    /// Creates an empty store and spawns the task that expires its leases; must
+    /// be called inside a Tokio runtime.
     #[must_use]
     pub fn start() -> Arc<Self> {
         let kv = Arc::new(Self {
-            switches: Switches::default(),
+            controls: Observable::default(),
             store: Mutex::new(Store::default()),
             revision: watch::Sender::new(1),
             calls: Mutex::default(),
@@ -72,64 +77,73 @@
         kv
     }
 
-    /// Runs a step on the store and wakes the watches if it changed.
-    fn with_store<T>(&self, step: impl FnOnce(&mut Store) -> T) -> T {
+    /// Runs `operation` on the store and wakes the watches if its revision
+    /// changed.
+    fn with_store<T>(&self, operation: impl FnOnce(&mut Store) -> T) -> T {
         let mut store = lock(&self.store);
-        let result = step(&mut store);
+        let result = operation(&mut store);
         let revision = store.revision();
         self.revision
-            .send_if_modified(|known| std::mem::replace(known, revision) != revision);
+            .send_if_modified(|published| std::mem::replace(published, revision) != revision);
         result
     }
 
-    fn count(&self, kind: &str) {
-        *lock(&self.calls).entry(kind.to_owned()).or_default() += 1;
+    fn count_call(&self, path: &str) {
+        *lock(&self.calls).entry(path.to_owned()).or_default() += 1;
     }
 
-    /// Reads the request's body, runs it and encodes the result.
+    /// Parses the request's body, runs it on the store and encodes the result.
     async fn call<Q: DeserializeOwned>(
         &self,
         request: Request<Incoming>,
-        run: impl FnOnce(&mut Store, &Q) -> Result<Value, Fault>,
+        run: impl FnOnce(&mut Store, &Q) -> Result<Value, Error>,
     ) -> Response<Body> {
         let query = match read_json(request).await {
             Ok(query) => query,
-            Err(answer) => return answer,
+            Err(response) => return response,
         };
-        encode(self.with_store(|store| run(store, &query)))
+        to_response(self.with_store(|store| run(store, &query)))
     }
 
-    async fn transact(&self, request: Request<Incoming>) -> Answer {
+    async fn transact(&self, request: Request<Incoming>) -> Handled {
         let query: wire::Transaction = match read_json(request).await {
             Ok(query) => query,
-            Err(answer) => return Ok(answer),
+            Err(response) => return Ok(response),
         };
-        self.switches
-            .wait_for(|positions| !positions.hold_before)
+        self.controls
+            .wait_for(|controls| !controls.hold_before)
             .await;
-        if self.switches.modify(|at| take(&mut at.lose_requests)) {
+        if self
+            .controls
+            .modify(|controls| count_down(&mut controls.lose_requests))
+        {
             return Err(Abort);
         }
-        let writes = query.writes();
-        let stale_by = self.switches.get().stale_by;
-        let result = if writes || stale_by == 0 {
+        let has_writes = query.has_writes();
+        let stale_by = self.controls.get().stale_by;
+        let result = if has_writes || stale_by == 0 {
             self.with_store(|store| store.transact(&query))
         } else {
-            lock(&self.store).before(stale_by).transact(&query)
+            lock(&self.store).snapshot(stale_by).transact(&query)
         };
-        self.switches
-            .wait_for(|positions| !positions.hold_after)
+        self.controls
+            .wait_for(|controls| !controls.hold_after)
             .await;
-        if writes && self.switches.modify(|at| take(&mut at.lose_answers)) {
+        if has_writes
+            && self
+                .controls
+                .modify(|controls| count_down(&mut controls.lose_answers))
+        {
             return Err(Abort);
         }
-        Ok(encode(result))
+        Ok(to_response(result))
     }
 
+    /// Streams one JSON line per batch of changes, as etcd does.
     async fn watch(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         let query: wire::Watch = match read_json(request).await {
             Ok(query) => query,
-            Err(answer) => return answer,
+            Err(response) => return response,
         };
         let create = query.create_request;
         let revision = lock(&self.store).revision();
@@ -138,11 +152,13 @@
         } else {
             revision + 1
         };
-        let first = json!({"result": {"header": wire::header(revision), "created": true}});
+        let created = json!({"result": {"header": wire::header(revision), "created": true}});
         let state = (self.revision.subscribe(), next, self, create);
-        let changes = stream::unfold(state, |(mut revision, mut next, kv, create)| async move {
+        let updates = stream::unfold(state, |(mut revision, mut next, kv, create)| async move {
             loop {
-                kv.switches.wait_for(|at| !at.watch_silent).await;
+                kv.controls
+                    .wait_for(|controls| !controls.watch_silent)
+                    .await;
                 let seen = *revision.borrow_and_update();
                 let events = lock(&kv.store).events(&create, next);
                 next = next.max(seen + 1);
@@ -155,56 +171,56 @@
                 }
             }
         });
-        let lines = stream::once(async { first }).chain(changes);
+        let lines = stream::once(async { created }).chain(updates);
         let frames = lines.map(|line| Ok(Frame::data(Bytes::from(format!("{line}\n")))));
         Response::new(StreamBody::new(frames).boxed_unsync())
     }
 }
 
-/// Counts down and returns whether there was something left.
-const fn take(left: &mut u64) -> bool {
-    let any = *left > 0;
-    *left = left.saturating_sub(1);
+/// Decrements a counter that is above zero; returns whether it was.
+const fn count_down(remaining: &mut u64) -> bool {
+    let any = *remaining > 0;
+    *remaining = remaining.saturating_sub(1);
     any
 }
 
-fn encode(result: Result<Value, Fault>) -> Response<Body> {
+fn to_response(result: Result<Value, Error>) -> Response<Body> {
     match result {
-        Ok(value) => json_answer(StatusCode::OK, &value),
-        Err(fault) => {
+        Ok(value) => json_response(StatusCode::OK, &value),
+        Err(error) => {
             let value =
-                json!({"error": fault.message, "code": fault.code, "message": fault.message});
-            let status = match fault.code {
+                json!({"error": error.message, "code": error.code, "message": error.message});
+            let status = match error.code {
                 store::NOT_FOUND => StatusCode::NOT_FOUND,
                 _ => StatusCode::BAD_REQUEST,
             };
-            json_answer(status, &value)
+            json_response(status, &value)
         }
     }
 }
 
 impl Service for Kv {
-    type Switches = Positions;
+    type Controls = Controls;
 
-    fn switches(&self) -> &Switches<Positions> {
-        &self.switches
+    fn controls(&self) -> &Observable<Controls> {
+        &self.controls
     }
 
     fn counts(&self) -> Value {
         json!({"calls": *lock(&self.calls), "revision": lock(&self.store).revision()})
     }
 
-    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Answer {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Handled {
         let path = request.uri().path().to_owned();
-        self.count(path.trim_start_matches("/v3/"));
+        self.count_call(path.trim_start_matches("/v3/"));
         match path.as_str() {
             "/v3/kv/range" => {
-                let stale_by = self.switches.get().stale_by;
+                let stale_by = self.controls.get().stale_by;
                 let run = |store: &mut Store, query: &wire::Range| {
                     if stale_by == 0 {
                         return Ok(store.range(query));
                     }
-                    Ok(store.before(stale_by).range(query))
+                    Ok(store.snapshot(stale_by).range(query))
                 };
                 Ok(self.call(request, run).await)
             }
@@ -223,7 +239,7 @@
                 Ok(self.call(request, Store::revoke).await)
             }
             "/v3/watch" => Ok(self.watch(request).await),
-            _ => Ok(encode(Err(Fault {
+            _ => Ok(to_response(Err(Error {
                 code: store::NOT_FOUND,
                 message: "Not Found",
             }))),
--- a/testutils/src/kv/store.rs
+++ b/testutils/src/kv/store.rs
@@ -1,4 +1,4 @@
-//! Keys, leases and the history of changes.
+//! Keys, leases and the history of changes of the key-value stand-in.
 
 use std::{
     cmp::Ordering,
@@ -9,30 +9,33 @@
 use serde_json::{Map, Value, json};
 
 use super::wire::{
-    Compare, Lease, Operation, Put, Range, Relation, Target, Transaction, WatchCreate, encode,
+    Compare, Lease, Operation, Put, Range, Relation, Target, Transaction, WatchCreate, base64,
     header,
 };
 
-/// Status code of the gateway for a lease or path that is not known.
+/// gRPC status code for an unknown lease or path.
 pub const NOT_FOUND: u32 = 5;
-/// Status code of the gateway for a request that is not valid.
+/// gRPC status code for an invalid request.
 pub const INVALID_ARGUMENT: u32 = 3;
-/// Largest value in bytes.
+/// Maximum size of a value in bytes.
 const MAX_VALUE_BYTES: usize = 1 << 20;
 
-/// Why a call is refused.
+/// Error of a call, with its gRPC status code.
 #[derive(Clone, Copy, Debug)]
-pub struct Fault {
+pub struct Error {
     pub code: u32,
     pub message: &'static str,
 }
 
+/// The value of a key, with its metadata.
 #[derive(Clone, Debug)]
 struct Item {
     value: Vec<u8>,
-    created: i64,
-    modified: i64,
+    create_revision: i64,
+    mod_revision: i64,
+    /// Number of writes since the key was created.
     version: i64,
+    /// ID of the lease that the key is attached to, or zero.
     lease: i64,
 }
 
@@ -40,23 +43,25 @@
 struct Change {
     revision: i64,
     key: Vec<u8>,
-    /// The new item, or nothing if it was deleted.
+    /// The new item, or `None` if the key was deleted.
     item: Option<Item>,
 }
 
+/// A lease that has not expired.
 #[derive(Debug)]
-struct Granted {
+struct ActiveLease {
+    /// Time to live in seconds.
     ttl: i64,
-    lapses: Instant,
+    expires_at: Instant,
 }
 
-/// The store; its first revision is 1 as in etcd.
+/// The store; its first revision is 1, as in etcd.
 #[derive(Debug)]
 pub struct Store {
     revision: i64,
     items: BTreeMap<Vec<u8>, Item>,
     history: Vec<Change>,
-    leases: BTreeMap<i64, Granted>,
+    leases: BTreeMap<i64, ActiveLease>,
     last_lease: i64,
 }
 
@@ -80,11 +85,12 @@
 
     /// Reads a range.
     pub fn range(&self, query: &Range) -> Value {
-        answer(&self.items, self.revision, query)
+        range_response(&self.items, self.revision, query)
     }
 
-    /// Returns the store as it was so many revisions ago, without its leases.
-    pub fn before(&self, revisions: i64) -> Self {
+    /// Returns a copy of the store as it was `revisions` revisions ago, without
+    /// its leases.
+    pub fn snapshot(&self, revisions: i64) -> Self {
         let revision = (self.revision - revisions).max(1);
         Self {
             revision,
@@ -108,26 +114,26 @@
     }
 
     /// Writes one key.
-    pub fn put(&mut self, query: &Put) -> Result<Value, Fault> {
-        self.check(query)?;
+    pub fn put(&mut self, query: &Put) -> Result<Value, Error> {
+        self.validate(query)?;
         self.revision += 1;
         self.write(query);
         Ok(json!({"header": header(self.revision)}))
     }
 
-    /// Deletes a range.
+    /// Deletes the keys of a range.
     pub fn delete(&mut self, query: &Range) -> Value {
         let deleted = self.remove(query, self.revision + 1);
         self.revision += i64::from(deleted > 0);
-        deletion(deleted, self.revision)
+        delete_response(deleted, self.revision)
     }
 
-    /// Runs a transaction under one revision.
-    pub fn transact(&mut self, transaction: &Transaction) -> Result<Value, Fault> {
+    /// Runs a transaction; all its writes get the same revision.
+    pub fn transact(&mut self, transaction: &Transaction) -> Result<Value, Error> {
         let succeeded = transaction
             .compare
             .iter()
-            .all(|compare| self.holds(compare));
+            .all(|compare| self.is_satisfied(compare));
         let operations = if succeeded {
             &transaction.success
         } else {
@@ -135,16 +141,16 @@
         };
         for operation in operations {
             if let Operation::Put(put) = operation {
-                self.check(put)?;
+                self.validate(put)?;
             }
         }
-        let before = self.history.len();
-        let base = self.revision;
+        let history_length = self.history.len();
+        let revision_before = self.revision;
         let mut responses = Vec::new();
         for operation in operations {
-            responses.push(self.operate(operation, base + 1));
+            responses.push(self.apply(operation, revision_before + 1));
         }
-        self.revision = base + i64::from(self.history.len() > before);
+        self.revision = revision_before + i64::from(self.history.len() > history_length);
         let mut result = json!({"header": header(self.revision)});
         if succeeded {
             result["succeeded"] = json!(true);
@@ -155,7 +161,7 @@
         Ok(result)
     }
 
-    fn operate(&mut self, operation: &Operation, revision: i64) -> Value {
+    fn apply(&mut self, operation: &Operation, revision: i64) -> Value {
         match operation {
             Operation::Put(put) => {
                 self.revision = revision;
@@ -165,26 +171,26 @@
             Operation::Range(range) => json!({"response_range": self.range(range)}),
             Operation::Delete(range) => {
                 let deleted = self.remove(range, revision);
-                json!({"response_delete_range": deletion(deleted, revision)})
+                json!({"response_delete_range": delete_response(deleted, revision)})
             }
         }
     }
 
-    fn check(&self, put: &Put) -> Result<(), Fault> {
+    fn validate(&self, put: &Put) -> Result<(), Error> {
         if put.key.0.is_empty() {
-            return Err(Fault {
+            return Err(Error {
                 code: INVALID_ARGUMENT,
                 message: "etcdserver: key is not provided",
             });
         }
         if put.value.0.len() > MAX_VALUE_BYTES {
-            return Err(Fault {
+            return Err(Error {
                 code: INVALID_ARGUMENT,
                 message: "etcdserver: request is too large",
             });
         }
         if put.lease.0 != 0 && !self.leases.contains_key(&put.lease.0) {
-            return Err(Fault {
+            return Err(Error {
                 code: NOT_FOUND,
                 message: "etcdserver: requested lease not found",
             });
@@ -192,13 +198,13 @@
         Ok(())
     }
 
-    /// Writes a key under the present revision.
+    /// Writes a key at the current revision.
     fn write(&mut self, put: &Put) {
         let previous = self.items.get(&put.key.0);
         let item = Item {
             value: put.value.0.clone(),
-            created: previous.map_or(self.revision, |item| item.created),
-            modified: self.revision,
+            create_revision: previous.map_or(self.revision, |item| item.create_revision),
+            mod_revision: self.revision,
             version: previous.map_or(1, |item| item.version + 1),
             lease: put.lease.0,
         };
@@ -213,7 +219,7 @@
     fn remove(&mut self, query: &Range, revision: i64) -> usize {
         let mut keys = Vec::new();
         for key in self.items.keys() {
-            if contains(&query.key.0, &query.end.0, key) {
+            if in_range(&query.key.0, &query.end.0, key) {
                 keys.push(key.clone());
             }
         }
@@ -228,15 +234,15 @@
         keys.len()
     }
 
-    fn holds(&self, compare: &Compare) -> bool {
+    fn is_satisfied(&self, compare: &Compare) -> bool {
         let item = self.items.get(&compare.key.0);
         let number = |field: fn(&Item) -> i64| item.map_or(0, field);
         let order = match compare.target {
             Target::Version => number(|item| item.version).cmp(&compare.version.0),
-            Target::Create => number(|item| item.created).cmp(&compare.create_revision.0),
-            Target::Mod => number(|item| item.modified).cmp(&compare.mod_revision.0),
+            Target::Create => number(|item| item.create_revision).cmp(&compare.create_revision.0),
+            Target::Mod => number(|item| item.mod_revision).cmp(&compare.mod_revision.0),
             Target::Lease => number(|item| item.lease).cmp(&compare.lease.0),
-            // As in etcd, a comparison of values fails if there is no key.
+            // As in etcd, comparing values fails if the key does not exist.
             Target::Value => match item {
                 Some(item) => item.value.cmp(&compare.value.0),
                 None => return false,
@@ -259,26 +265,26 @@
             query.id.0
         };
         let ttl = query.ttl.0.max(1);
-        let lapses = Instant::now() + seconds(ttl);
-        self.leases.insert(id, Granted { ttl, lapses });
+        let expires_at = Instant::now() + seconds(ttl);
+        self.leases.insert(id, ActiveLease { ttl, expires_at });
         json!({"header": header(self.revision), "ID": id.to_string(), "TTL": ttl.to_string()})
     }
 
-    /// Renews a lease; one that is not known has no time left.
+    /// Renews a lease; the response has no TTL if the lease is unknown.
     pub fn renew(&mut self, query: &Lease) -> Value {
         let id = query.id.0;
         let mut result = json!({"header": header(self.revision), "ID": id.to_string()});
         if let Some(lease) = self.leases.get_mut(&id) {
-            lease.lapses = Instant::now() + seconds(lease.ttl);
+            lease.expires_at = Instant::now() + seconds(lease.ttl);
             result["TTL"] = json!(lease.ttl.to_string());
         }
         json!({"result": result})
     }
 
     /// Revokes a lease and deletes its keys.
-    pub fn revoke(&mut self, query: &Lease) -> Result<Value, Fault> {
+    pub fn revoke(&mut self, query: &Lease) -> Result<Value, Error> {
         if !self.drop_lease(query.id.0) {
-            return Err(Fault {
+            return Err(Error {
                 code: NOT_FOUND,
                 message: "etcdserver: requested lease not found",
             });
@@ -286,20 +292,21 @@
         Ok(json!({"header": header(self.revision)}))
     }
 
-    /// Drops the leases that have lapsed.
+    /// Revokes the leases that have expired.
     pub fn expire(&mut self) {
         let now = Instant::now();
-        let mut lapsed = Vec::new();
+        let mut expired = Vec::new();
         for (id, lease) in &self.leases {
-            if lease.lapses <= now {
-                lapsed.push(*id);
+            if lease.expires_at <= now {
+                expired.push(*id);
             }
         }
-        for id in lapsed {
+        for id in expired {
             self.drop_lease(id);
         }
     }
 
+    /// Removes a lease and deletes its keys; returns whether it existed.
     fn drop_lease(&mut self, id: i64) -> bool {
         if self.leases.remove(&id).is_none() {
             return false;
@@ -322,20 +329,21 @@
         true
     }
 
-    /// Returns the changes of the watched keys from a revision on.
+    /// Returns the changes of the watched keys since revision `from`, including
+    /// those of `from` itself.
     pub fn events(&self, watch: &WatchCreate, from: i64) -> Vec<Value> {
         let start = self
             .history
             .partition_point(|change| change.revision < from);
         let mut events = Vec::new();
         for change in &self.history[start..] {
-            if !contains(&watch.key.0, &watch.end.0, &change.key) {
+            if !in_range(&watch.key.0, &watch.end.0, &change.key) {
                 continue;
             }
             events.push(match &change.item {
-                Some(item) => json!({"kv": pair(&change.key, item)}),
+                Some(item) => json!({"kv": key_value(&change.key, item)}),
                 None => json!({"type": "DELETE", "kv": {
-                    "key": encode(&change.key),
+                    "key": base64(&change.key),
                     "mod_revision": change.revision.to_string(),
                 }}),
             });
@@ -348,8 +356,9 @@
     Duration::from_secs(ttl.unsigned_abs())
 }
 
-/// Returns whether a key lies in a range, by the rules of etcd.
-fn contains(start: &[u8], end: &[u8], key: &[u8]) -> bool {
+/// Returns whether a key is in a range, by the rules of etcd: without an end,
+/// the range is a single key; an end of one zero byte means no upper bound.
+fn in_range(start: &[u8], end: &[u8], key: &[u8]) -> bool {
     match end {
         [] => key == start,
         [0] => key >= start,
@@ -357,7 +366,7 @@
     }
 }
 
-fn deletion(deleted: usize, revision: i64) -> Value {
+fn delete_response(deleted: usize, revision: i64) -> Value {
     let mut result = json!({"header": header(revision)});
     if deleted > 0 {
         result["deleted"] = json!(deleted.to_string());
@@ -365,16 +374,17 @@
     result
 }
 
-/// Encodes a key with its value; the gateway leaves out zeros.
-fn pair(key: &[u8], item: &Item) -> Value {
+/// Encodes a key and its item; like the gateway, it leaves out fields that are
+/// empty or zero.
+fn key_value(key: &[u8], item: &Item) -> Value {
     let mut fields = Map::new();
-    fields.insert("key".to_owned(), json!(encode(key)));
+    fields.insert("key".to_owned(), json!(base64(key)));
     if !item.value.is_empty() {
-        fields.insert("value".to_owned(), json!(encode(&item.value)));
+        fields.insert("value".to_owned(), json!(base64(&item.value)));
     }
     for (name, number) in [
-        ("create_revision", item.created),
-        ("mod_revision", item.modified),
+        ("create_revision", item.create_revision),
+        ("mod_revision", item.mod_revision),
         ("version", item.version),
         ("lease", item.lease),
     ] {
@@ -385,17 +395,17 @@
     Value::Object(fields)
 }
 
-fn answer(items: &BTreeMap<Vec<u8>, Item>, revision: i64, query: &Range) -> Value {
+fn range_response(items: &BTreeMap<Vec<u8>, Item>, revision: i64, query: &Range) -> Value {
     let limit = usize::try_from(query.limit.0).unwrap_or(0);
     let mut pairs = Vec::new();
     let mut count = 0_usize;
     for (key, item) in items {
-        if !contains(&query.key.0, &query.end.0, key) {
+        if !in_range(&query.key.0, &query.end.0, key) {
             continue;
         }
         count += 1;
         if limit == 0 || pairs.len() < limit {
-            pairs.push(pair(key, item));
+            pairs.push(key_value(key, item));
         }
     }
     let mut result = json!({"header": header(revision)});
--- a/testutils/src/kv/wire.rs
+++ b/testutils/src/kv/wire.rs
@@ -1,10 +1,11 @@
-//! Messages of the gateway as they are sent.
+//! Messages of etcd's JSON gateway.
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 use serde::{Deserialize, Deserializer, de};
 use serde_json::{Value, json};
 
-/// An `int64`, which the gateway writes as a string and reads as either.
+/// An `int64`, which the gateway writes as a string and reads from a string or
+/// a number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Int(pub i64);
 
@@ -23,7 +24,7 @@
     }
 }
 
-/// Bytes, base64 on the wire.
+/// Bytes, which are encoded as base64 in JSON.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Blob(pub Vec<u8>);
 
@@ -34,12 +35,12 @@
     }
 }
 
-/// Encodes bytes as the gateway does.
-pub fn encode(bytes: &[u8]) -> String {
+/// Encodes bytes as base64, as the gateway does.
+pub fn base64(bytes: &[u8]) -> String {
     STANDARD.encode(bytes)
 }
 
-/// Builds the header of an answer.
+/// Builds the header of a response.
 pub fn header(revision: i64) -> Value {
     json!({"cluster_id": "1", "member_id": "1", "revision": revision.to_string(), "raft_term": "1"})
 }
@@ -54,7 +55,7 @@
     pub limit: Int,
 }
 
-/// A write.
+/// A write of one key.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Put {
@@ -63,7 +64,7 @@
     pub lease: Int,
 }
 
-/// What a comparison looks at.
+/// The property of a key that a condition compares.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Target {
@@ -75,7 +76,7 @@
     Lease,
 }
 
-/// How it compares.
+/// How the property must relate to the operand.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Relation {
@@ -86,7 +87,7 @@
     NotEqual,
 }
 
-/// A condition.
+/// A condition of a transaction.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Compare {
@@ -102,7 +103,7 @@
     pub lease: Int,
 }
 
-/// One operation; exactly one member is set.
+/// One operation of a transaction, encoded as an object with a single field.
 #[derive(Clone, Debug, Deserialize)]
 pub enum Operation {
     #[serde(rename = "request_put", alias = "requestPut")]
@@ -113,7 +114,7 @@
     Delete(Range),
 }
 
-/// A transaction.
+/// A transaction: runs `success` if every condition holds, else `failure`.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Transaction {
@@ -123,14 +124,14 @@
 }
 
 impl Transaction {
-    /// Returns whether it can change anything.
-    pub fn writes(&self) -> bool {
+    /// Returns whether it contains a write, in either branch.
+    pub fn has_writes(&self) -> bool {
         let mut operations = self.success.iter().chain(&self.failure);
         operations.any(|operation| !matches!(operation, Operation::Range(_)))
     }
 }
 
-/// A grant, renewal or revocation.
+/// A request to grant, renew or revoke a lease.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Lease {
@@ -140,7 +141,7 @@
     pub ttl: Int,
 }
 
-/// The start of a watch.
+/// A request to start a watch.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Watch {
@@ -148,7 +149,7 @@
     pub create_request: WatchCreate,
 }
 
-/// What a watch looks at.
+/// The keys of a watch and the revision that it starts from.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct WatchCreate {
--- a/testutils/src/ledger.rs
+++ b/testutils/src/ledger.rs
@@ -1,4 +1,5 @@
-//! Stand-in of a plain service, which records what it ran.
+//! Stand-in for a plain service, such as a payment ledger. It counts how often
+//! it executed each request and idempotency key.
 
 use std::{
     collections::BTreeMap,
@@ -11,138 +12,147 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-use crate::server::{Abort, Answer, Service, Switches, json_answer, lock, problem};
+use crate::server::{Abort, Handled, Observable, Service, error_response, json_response, lock};
 
-/// When a connection is closed.
+/// Point at which the connection of a request is closed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Death {
+pub enum AbortPoint {
     /// Never.
     #[default]
     None,
-    /// Before the request runs.
+    /// Before the request is executed.
     Before,
-    /// After it ran, in place of the answer.
+    /// After it was executed, in place of the response.
     After,
 }
 
-/// What can be switched.
+/// Values that the control page reads and sets.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Positions {
-    /// When a connection is closed.
-    pub die: Death,
-    /// Keeps the answers of requests that ran until it is cleared.
+pub struct Controls {
+    /// Point at which the connection of each request is closed.
+    pub die: AbortPoint,
+    /// While set, responses to requests that were executed are held back.
     pub hold: bool,
-    /// Says on the load page that the endpoint leaves.
+    /// Whether the load page reports that the endpoint is leaving.
     pub leaving: bool,
-    /// Status of the answers, zero for 200.
+    /// Status code of the responses; 200 if this is not a valid code, such as 0.
     pub status: u16,
 }
 
-/// What was run.
+/// Counters of the requests.
 #[derive(Debug, Default, Serialize)]
-struct Runs {
+struct Counts {
     received: u64,
+    /// Requests that were executed.
     total: u64,
+    /// Requests that were executed, but whose response is still pending.
     running: u64,
+    /// Executions by idempotency key.
     by_key: BTreeMap<String, u64>,
+    /// Executions by request ID.
     by_request: BTreeMap<String, u64>,
 }
 
 /// The plain service.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    switches: Switches<Positions>,
-    runs: Mutex<Runs>,
+    controls: Observable<Controls>,
+    counts: Mutex<Counts>,
 }
 
-/// Ends a run also if the caller leaves before the answer.
-struct Running<'a>(&'a Mutex<Runs>);
+/// Counts a request as running until it is dropped, which also happens if the
+/// client disconnects before the response.
+struct RunGuard<'a>(&'a Mutex<Counts>);
 
-impl Drop for Running<'_> {
+impl Drop for RunGuard<'_> {
     fn drop(&mut self) {
         lock(self.0).running -= 1;
     }
 }
 
 impl Ledger {
-    fn load(&self) -> Value {
-        let state = if self.switches.get().leaving {
+    fn load_page(&self) -> Value {
+        let state = if self.controls.get().leaving {
             "leaving"
         } else {
             "live"
         };
-        let running = lock(&self.runs).running;
+        let running = lock(&self.counts).running;
         json!({"running": running, "waiting": 0, "tokens": 0, "models": [], "state": state})
     }
 
-    /// Records a run and returns its number for its idempotency key.
-    fn run(&self, headers: &HeaderMap) -> (Running<'_>, u64) {
-        let mut runs = lock(&self.runs);
-        runs.total += 1;
-        runs.running += 1;
-        if let Some(request) = text(headers, "x-request-id") {
-            *runs.by_request.entry(request).or_default() += 1;
+    /// Counts an execution; returns how many there were with its idempotency key.
+    fn start_run(&self, headers: &HeaderMap) -> (RunGuard<'_>, u64) {
+        let mut counts = lock(&self.counts);
+        counts.total += 1;
+        counts.running += 1;
+        if let Some(request) = header_text(headers, "x-request-id") {
+            *counts.by_request.entry(request).or_default() += 1;
         }
-        let mut count = 0;
-        if let Some(key) = text(headers, "idempotency-key") {
-            let times = runs.by_key.entry(key).or_default();
-            *times += 1;
-            count = *times;
+        let mut runs_of_key = 0;
+        if let Some(key) = header_text(headers, "idempotency-key") {
+            let runs = counts.by_key.entry(key).or_default();
+            *runs += 1;
+            runs_of_key = *runs;
         }
-        (Running(&self.runs), count)
+        (RunGuard(&self.counts), runs_of_key)
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Answer {
+    /// Executes a request and echoes it in the response.
+    async fn execute(&self, request: Request<Incoming>) -> Handled {
         let (head, body) = request.into_parts();
         let body = body.collect().await.map_err(|_| Abort)?.to_bytes();
-        lock(&self.runs).received += 1;
-        if self.switches.get().die == Death::Before {
+        lock(&self.counts).received += 1;
+        if self.controls.get().die == AbortPoint::Before {
             return Err(Abort);
         }
-        let (_running, count) = self.run(&head.headers);
-        self.switches.wait_for(|positions| !positions.hold).await;
-        let positions = self.switches.get();
-        if positions.die == Death::After {
+        let (_guard, runs_of_key) = self.start_run(&head.headers);
+        self.controls.wait_for(|controls| !controls.hold).await;
+        let controls = self.controls.get();
+        if controls.die == AbortPoint::After {
             return Err(Abort);
         }
-        let status = StatusCode::from_u16(positions.status).unwrap_or(StatusCode::OK);
+        let status = StatusCode::from_u16(controls.status).unwrap_or(StatusCode::OK);
         let value = json!({
             "path": head.uri.path(),
-            "run": count,
-            "key": text(&head.headers, "idempotency-key"),
+            "run": runs_of_key,
+            "key": header_text(&head.headers, "idempotency-key"),
             "body": String::from_utf8_lossy(&body),
         });
-        let mut answer = json_answer(status, &value);
+        let mut response = json_response(status, &value);
         if let Some(id) = head.headers.get("x-request-id") {
-            answer.headers_mut().insert("x-request-id", id.clone());
+            response.headers_mut().insert("x-request-id", id.clone());
         }
-        Ok(answer)
+        Ok(response)
     }
 }
 
-fn text(headers: &HeaderMap, name: &str) -> Option<String> {
+fn header_text(headers: &HeaderMap, name: &str) -> Option<String> {
     let value = headers.get(name)?.to_str().ok()?;
     Some(value.to_owned())
 }
 
 impl Service for Ledger {
-    type Switches = Positions;
+    type Controls = Controls;
 
-    fn switches(&self) -> &Switches<Positions> {
-        &self.switches
+    fn controls(&self) -> &Observable<Controls> {
+        &self.controls
     }
 
     fn counts(&self) -> Value {
-        let runs = lock(&self.runs);
-        serde_json::to_value(&*runs).unwrap_or_default()
+        let counts = lock(&self.counts);
+        serde_json::to_value(&*counts).unwrap_or_default()
     }
 
-    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Answer {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> Handled {
         match request.uri().path() {
-            "/load" => Ok(json_answer(StatusCode::OK, &self.load())),
-            "/cache/events" => Ok(problem(StatusCode::NOT_FOUND, "a plain service has none")),
-            _ => self.answer(request).await,
+            "/load" => Ok(json_response(StatusCode::OK, &self.load_page())),
+            "/cache/events" => Ok(error_response(
+                StatusCode::NOT_FOUND,
+                "a plain service has no cache events",
+            )),
+            _ => self.execute(request).await,
         }
     }
 }
--- a/testutils/src/lib.rs
+++ b/testutils/src/lib.rs
@@ -1,4 +1,4 @@
-//! Test support: stand-ins of the outside systems, and a harness that runs
+//! Test support: stand-ins for the outside systems, and a harness that runs
 //! the real programs against them.
 
 pub mod client;
--- a/testutils/src/server.rs
+++ b/testutils/src/server.rs
@@ -1,6 +1,7 @@
-//! The listener that all stand-ins share, with the faults of a connection.
+//! The HTTP server that all stand-ins share, its control page and the
+//! connection faults that it can inject.
 
-mod gate;
+mod connection;
 
 use std::{
     future::{Future, pending},
@@ -29,99 +30,99 @@
     time::sleep,
 };
 
-use self::gate::Gate;
+use self::connection::Connection;
 
 /// Time between two attempts to listen again on an address.
-const LISTEN_RETRY: Duration = Duration::from_millis(20);
+const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The connection is closed without an answer, or in the middle of one.
+/// Error that makes the server close the connection without a response, or in
+/// the middle of one.
 #[derive(Clone, Copy, Debug)]
 pub struct Abort;
 
 impl std::fmt::Display for Abort {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the stand-in closes the connection; clear its fault switch")
+        f.write_str("connection closed by a fault that is set on the stand-in's control page")
     }
 }
 
 impl std::error::Error for Abort {}
 
-/// Body of an answer.
+/// Body of a response.
 pub type Body = UnsyncBoxBody<Bytes, Abort>;
 
-/// Answer of a stand-in.
-pub type Answer = Result<Response<Body>, Abort>;
+/// Result of handling a request: a response, or an abort of the connection.
+pub type Handled = Result<Response<Body>, Abort>;
 
-/// Which connections never carry another byte.
+/// Which connections are stalled, so that they never carry another byte.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Silence {
-    /// None further; those that fell silent before stay so.
+    /// No further connections; those that are already stalled remain so.
     #[default]
     None,
-    /// Those open at the moment of the switch.
+    /// Those that are open when this value is set.
     Existing,
-    /// Those open and every new one.
+    /// Those that are open when this value is set, and every later one.
     All,
 }
 
-/// Faults that every stand-in has.
+/// Connection faults that every stand-in can inject.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Refuses connections and closes those that are open.
+    /// Whether connections are refused, and open ones closed.
     pub down: bool,
-    /// Delay before a request is looked at.
+    /// Delay before a request is handled, in milliseconds.
     pub slow_ms: u64,
-    /// Which connections never carry another byte.
+    /// Which connections are stalled.
     pub silent: Silence,
 }
 
-/// A stand-in.
+/// The behavior of a stand-in behind the shared server.
 pub trait Service: Send + Sync + 'static {
-    /// Its own switches.
-    type Switches: Clone + Default + Serialize + DeserializeOwned + Send + Sync;
+    /// Values that the control page reads and sets, besides [`Faults`].
+    type Controls: Clone + Default + Serialize + DeserializeOwned + Send + Sync;
 
-    /// Returns its switches.
-    fn switches(&self) -> &Switches<Self::Switches>;
+    /// Returns its controls.
+    fn controls(&self) -> &Observable<Self::Controls>;
 
-    /// Returns what it has counted.
+    /// Returns its counters, for the control page.
     fn counts(&self) -> Value;
 
-    /// Answers a request.
-    fn handle(self: Arc<Self>, request: Request<Incoming>) -> impl Future<Output = Answer> + Send;
+    /// Handles a request.
+    fn handle(self: Arc<Self>, request: Request<Incoming>) -> impl Future<Output = Handled> + Send;
 }
 
-/// Switches that can be changed while requests are served.
+/// A value that can be changed, and waited for, while requests are served.
 #[derive(Debug)]
-pub struct Switches<S>(watch::Sender<S>);
+pub struct Observable<S>(watch::Sender<S>);
 
-impl<S: Default> Default for Switches<S> {
+impl<S: Default> Default for Observable<S> {
     fn default() -> Self {
         Self(watch::Sender::new(S::default()))
     }
 }
 
-impl<S: Clone + Serialize + DeserializeOwned> Switches<S> {
-    /// Returns the present position.
+impl<S: Clone + Serialize + DeserializeOwned> Observable<S> {
+    /// Returns a copy of the current value.
     #[must_use]
     pub fn get(&self) -> S {
         self.0.borrow().clone()
     }
 
-    /// Changes the position.
+    /// Changes the value and returns what `change` returns.
     pub fn modify<T: Default>(&self, change: impl FnOnce(&mut S) -> T) -> T {
         let mut result = None;
-        self.0
-            .send_modify(|switches| result = Some(change(switches)));
+        self.0.send_modify(|value| result = Some(change(value)));
         result.unwrap_or_default()
     }
 
-    /// Waits until the position satisfies the condition.
+    /// Waits until the value satisfies the condition.
     pub async fn wait_for(&self, condition: impl FnMut(&S) -> bool) {
-        let mut position = self.0.subscribe();
-        // The sender lives as long as `self`, so that this can't fail.
-        let _ = position.wait_for(condition).await;
+        let mut receiver = self.0.subscribe();
+        // Fails only if the sender is dropped, but `self` owns the sender.
+        let _ = receiver.wait_for(condition).await;
     }
 
     fn merge(&self, change: &Value) -> serde_json::Result<()> {
@@ -131,49 +132,53 @@
     }
 }
 
-/// Overlays the members of `change` that `S` knows.
-fn merged<S: Serialize + DeserializeOwned>(present: &S, change: &Value) -> serde_json::Result<S> {
-    let mut whole = serde_json::to_value(present)?;
-    if let (Some(members), Some(change)) = (whole.as_object_mut(), change.as_object()) {
+/// Overwrites fields of `current` with those of `change`; fields that `S` does
+/// not have are ignored.
+fn merged<S: Serialize + DeserializeOwned>(current: &S, change: &Value) -> serde_json::Result<S> {
+    let mut merged = serde_json::to_value(current)?;
+    if let (Some(fields), Some(change)) = (merged.as_object_mut(), change.as_object()) {
         for (name, value) in change {
-            if members.contains_key(name) {
-                members.insert(name.clone(), value.clone());
+            if fields.contains_key(name) {
+                fields.insert(name.clone(), value.clone());
             }
         }
     }
-    serde_json::from_value(whole)
+    serde_json::from_value(merged)
 }
 
-/// Locks a mutex whose data stay valid when a holder panics.
+/// Locks a mutex, ignoring poisoning: its data stay valid if a holder panics.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Where a stand-in listens.
+/// Addresses that a stand-in listens on.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Addresses {
-    /// Address of its service.
+    /// Address of the service.
     pub address: SocketAddr,
-    /// Address that takes `/control` whatever the faults are.
+    /// Address that serves `/control` and is not subject to [`Faults`].
     pub control: SocketAddr,
 }
 
+/// State that all connections of a stand-in share.
 struct Shared<S> {
     service: Arc<S>,
     faults: watch::Sender<Faults>,
+    /// Number of accepted connections; connections are numbered from 0.
     accepted: AtomicU64,
+    /// Connections with a lower number are stalled.
     silent_below: Arc<AtomicU64>,
 }
 
-/// Starts a stand-in inside this process; it ends with the runtime.
+/// Starts a stand-in inside this process; it stops with the runtime.
 ///
 /// # Errors
 ///
 /// Fails if the address can't be bound.
 pub async fn start<S: Service>(service: Arc<S>, listen: SocketAddr) -> Result<Addresses> {
-    let listener = TcpListener::bind(listen)
-        .await
-        .wrap_err_with(|| format!("can't listen on {listen}; choose another `--listen`"))?;
+    let listener = TcpListener::bind(listen).await.wrap_err_with(|| {
+        format!("can't listen on {listen}; choose another address with `--listen`")
+    })?;
     let control = TcpListener::bind((listen.ip(), 0)).await?;
     let addresses = Addresses {
         address: listener.local_addr()?,
@@ -190,7 +195,8 @@
     Ok(addresses)
 }
 
-/// Starts a stand-in, prints its addresses and serves for good.
+/// Starts a stand-in, prints its addresses as one line of JSON and serves
+/// until the process ends.
 ///
 /// # Errors
 ///
@@ -205,7 +211,7 @@
     while let Ok((stream, _)) = listener.accept().await {
         let shared = Arc::clone(&shared);
         tokio::spawn(async move {
-            let serve = service_fn(move |request| control(Arc::clone(&shared), request));
+            let serve = service_fn(move |request| control_page(Arc::clone(&shared), request));
             let _ = auto::Builder::new(TokioExecutor::new())
                 .serve_connection(TokioIo::new(stream), serve)
                 .await;
@@ -239,7 +245,7 @@
     loop {
         match TcpListener::bind(address).await {
             Ok(listener) => return listener,
-            Err(_) => sleep(LISTEN_RETRY).await,
+            Err(_) => sleep(LISTEN_RETRY_INTERVAL).await,
         }
     }
 }
@@ -250,56 +256,58 @@
         shared.silent_below.fetch_max(number + 1, Ordering::SeqCst);
     }
     let _ = stream.set_nodelay(true);
-    let gate = Gate::new(stream, number, Arc::clone(&shared.silent_below));
+    let stream = Connection::new(stream, number, Arc::clone(&shared.silent_below));
     let mut faults = shared.faults.subscribe();
     let serve = service_fn(move |request| handle(Arc::clone(&shared), request));
     let builder = auto::Builder::new(TokioExecutor::new());
-    let connection = builder.serve_connection(TokioIo::new(gate), serve);
+    let connection = builder.serve_connection(TokioIo::new(stream), serve);
     tokio::select! {
         _ = connection => {}
         _ = faults.wait_for(|faults| faults.down) => {}
     }
 }
 
-async fn handle<S: Service>(shared: Arc<Shared<S>>, request: Request<Incoming>) -> Answer {
+async fn handle<S: Service>(shared: Arc<Shared<S>>, request: Request<Incoming>) -> Handled {
     if request.uri().path() == "/control" {
-        return control(shared, request).await;
+        return control_page(shared, request).await;
     }
-    let slow = Duration::from_millis(shared.faults.borrow().slow_ms);
-    if !slow.is_zero() {
-        sleep(slow).await;
+    let delay = Duration::from_millis(shared.faults.borrow().slow_ms);
+    if !delay.is_zero() {
+        sleep(delay).await;
     }
     Arc::clone(&shared.service).handle(request).await
 }
 
-async fn control<S: Service>(shared: Arc<Shared<S>>, request: Request<Incoming>) -> Answer {
+/// Serves the control page: `PUT` changes controls and faults, and every
+/// method returns them together with the counters.
+async fn control_page<S: Service>(shared: Arc<Shared<S>>, request: Request<Incoming>) -> Handled {
     if request.method() == Method::PUT {
         let change: Value = match read_json(request).await {
             Ok(change) => change,
-            Err(answer) => return Ok(answer),
+            Err(response) => return Ok(response),
         };
-        if let Err(cause) = change_switches(&shared, &change) {
-            return Ok(problem(StatusCode::BAD_REQUEST, &cause.to_string()));
+        if let Err(error) = set_controls(&shared, &change) {
+            return Ok(error_response(StatusCode::BAD_REQUEST, &error.to_string()));
         }
     }
-    let mut whole = json!({"counts": shared.service.counts()});
-    for part in [
+    let mut page = json!({"counts": shared.service.counts()});
+    for section in [
         serde_json::to_value(&*shared.faults.borrow()),
-        serde_json::to_value(shared.service.switches().get()),
+        serde_json::to_value(shared.service.controls().get()),
     ] {
-        let Ok(Value::Object(part)) = part else {
+        let Ok(Value::Object(section)) = section else {
             continue;
         };
-        for (name, value) in part {
-            whole[name] = value;
+        for (name, value) in section {
+            page[name] = value;
         }
     }
-    Ok(json_answer(StatusCode::OK, &whole))
+    Ok(json_response(StatusCode::OK, &page))
 }
 
-fn change_switches<S: Service>(shared: &Shared<S>, change: &Value) -> serde_json::Result<()> {
+fn set_controls<S: Service>(shared: &Shared<S>, change: &Value) -> serde_json::Result<()> {
     let faults = merged(&*shared.faults.borrow(), change)?;
-    shared.service.switches().merge(change)?;
+    shared.service.controls().merge(change)?;
     if faults.silent != Silence::None && change.get("silent").is_some() {
         let accepted = shared.accepted.load(Ordering::SeqCst);
         shared.silent_below.fetch_max(accepted, Ordering::SeqCst);
@@ -312,39 +320,39 @@
 ///
 /// # Errors
 ///
-/// Fails with the answer to give.
+/// Fails with the response to return if the body is not such JSON.
 pub async fn read_json<T: DeserializeOwned>(
     request: Request<Incoming>,
 ) -> Result<T, Response<Body>> {
     let body = match request.into_body().collect().await {
         Ok(body) => body.to_bytes(),
-        Err(cause) => return Err(problem(StatusCode::BAD_REQUEST, &cause.to_string())),
+        Err(error) => return Err(error_response(StatusCode::BAD_REQUEST, &error.to_string())),
     };
     serde_json::from_slice(&body)
-        .map_err(|cause| problem(StatusCode::BAD_REQUEST, &cause.to_string()))
+        .map_err(|error| error_response(StatusCode::BAD_REQUEST, &error.to_string()))
 }
 
-/// Wraps bytes as a body.
-pub fn full(bytes: impl Into<Bytes>) -> Body {
+/// Wraps bytes in a body.
+pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// Builds an answer with a JSON body.
+/// Builds a response with a JSON body.
 #[must_use]
-pub fn json_answer(status: StatusCode, value: &Value) -> Response<Body> {
-    let mut answer = Response::new(full(value.to_string()));
-    *answer.status_mut() = status;
-    answer.headers_mut().insert(
+pub fn json_response(status: StatusCode, value: &Value) -> Response<Body> {
+    let mut response = Response::new(full_body(value.to_string()));
+    *response.status_mut() = status;
+    response.headers_mut().insert(
         http::header::CONTENT_TYPE,
         http::HeaderValue::from_static("application/json"),
     );
-    answer
+    response
 }
 
-/// Builds an answer that says what is wrong with the request.
+/// Builds an error response whose JSON body contains `detail`.
 #[must_use]
-pub fn problem(status: StatusCode, detail: &str) -> Response<Body> {
-    json_answer(status, &json!({"error": detail}))
+pub fn error_response(status: StatusCode, detail: &str) -> Response<Body> {
+    json_response(status, &json!({"error": detail}))
 }
--- a/testutils/src/server/gate.rs
+++ b/testutils/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! A connection that can fall silent for good.
+//! A TCP connection that can be stalled permanently.
 
 use std::{
     io,
@@ -15,16 +15,17 @@
     net::TcpStream,
 };
 
-/// A connection that carries nothing more once its number lies below a mark.
+/// A TCP stream that never again becomes readable or writable once its
+/// `number` is less than `silent_below`.
 #[derive(Debug)]
-pub struct Gate {
+pub struct Connection {
     stream: TcpStream,
     number: u64,
     silent_below: Arc<AtomicU64>,
 }
 
-impl Gate {
-    /// Wraps a connection.
+impl Connection {
+    /// Wraps the stream of the connection with this number.
     pub fn new(stream: TcpStream, number: u64, silent_below: Arc<AtomicU64>) -> Self {
         Self {
             stream,
@@ -38,7 +39,7 @@
     }
 }
 
-impl AsyncRead for Gate {
+impl AsyncRead for Connection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -51,7 +52,7 @@
     }
 }
 
-impl AsyncWrite for Gate {
+impl AsyncWrite for Connection {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
