--- a/testutils/src/client.rs
+++ b/testutils/src/client.rs
@@ -1,4 +1,5 @@
-//! A small HTTP client whose answers are read piece by piece.
+//! A small HTTP client that can read a response body chunk by chunk, and access
+//! to the control pages of the stand-ins.
 
 use std::time::Duration;
 
@@ -14,10 +15,10 @@
 use serde_json::Value;
 use tokio::{net::TcpStream, task::AbortHandle, time::timeout};
 
-/// Longest wait for the head or for one piece of an answer.
+/// Maximum wait for the head or for one chunk of a response.
 const TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Version of the protocol.
+/// HTTP version of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Version {
     /// HTTP/1.1.
@@ -39,7 +40,7 @@
 }
 
 impl Call {
-    /// Starts a request to `ip:port`.
+    /// Creates a request to `ip:port`.
     #[must_use]
     pub fn new(address: &str, method: Method, path: &str) -> Self {
         Self {
@@ -64,7 +65,7 @@
         self
     }
 
-    /// Sets the bearer key.
+    /// Sets the bearer key of the `authorization` header.
     #[must_use]
     pub fn key(self, key: &str) -> Self {
         self.header("authorization", &format!("Bearer {key}"))
@@ -77,18 +78,18 @@
         self.header("content-type", "application/json")
     }
 
-    /// Chooses the version of the protocol.
+    /// Sets the HTTP version.
     #[must_use]
     pub const fn version(mut self, version: Version) -> Self {
         self.version = version;
         self
     }
 
-    /// Sends the request on a connection of its own and waits for the head.
+    /// Sends the request on a new connection and waits for the response's head.
     ///
     /// # Errors
     ///
-    /// Fails if the connection fails or nothing comes.
+    /// Fails if the connection fails or no head arrives within a minute.
     pub async fn send(self) -> Result<Answer> {
         let mut request = Request::builder()
             .method(self.method.clone())
@@ -104,8 +105,8 @@
         }
         let what = format!("{} {} at {}", self.method, self.path, self.address);
         match timeout(TIMEOUT, self.exchange(request)).await {
-            Ok(answer) => answer.wrap_err(what),
-            Err(_) => bail!("{what}: no answer within {TIMEOUT:?}"),
+            Ok(result) => result.wrap_err(what),
+            Err(_) => bail!("{what}: no response within {TIMEOUT:?}"),
         }
     }
 
@@ -134,16 +135,17 @@
         })
     }
 
-    /// Sends the request and reads the whole answer.
+    /// Sends the request and reads the response to its end.
     ///
     /// # Errors
     ///
-    /// Fails if the answer does not come whole.
+    /// Fails if the connection fails or stalls before the end.
     pub async fn text(self) -> Result<Whole> {
         self.send().await?.whole().await
     }
 }
 
+/// Aborts the task of a connection, which closes the connection, on drop.
 #[derive(Debug)]
 struct AbortOnDrop(AbortHandle);
 
@@ -153,29 +155,29 @@
     }
 }
 
-/// An answer whose body is read piece by piece; dropping it closes the
+/// A response whose body is read chunk by chunk; dropping it closes the
 /// connection.
 #[derive(Debug)]
 pub struct Answer {
-    /// Its status.
+    /// Status code.
     pub status: StatusCode,
-    /// Its headers.
+    /// Headers.
     pub headers: HeaderMap,
     body: Incoming,
     _connection: AbortOnDrop,
 }
 
 impl Answer {
-    /// Waits for the next piece; nothing follows the end.
+    /// Waits for the next chunk of the body; returns `None` at its end.
     ///
     /// # Errors
     ///
-    /// Fails if the connection breaks or falls silent.
+    /// Fails if the connection breaks or carries nothing for a minute.
     pub async fn piece(&mut self) -> Result<Option<String>> {
         loop {
             let Some(frame) = timeout(TIMEOUT, self.body.frame())
                 .await
-                .map_err(|_| eyre!("nothing more within {TIMEOUT:?}"))?
+                .map_err(|_| eyre!("no further part of the response within {TIMEOUT:?}"))?
             else {
                 return Ok(None);
             };
@@ -185,15 +187,15 @@
         }
     }
 
-    /// Reads the rest.
+    /// Reads the rest of the body.
     ///
     /// # Errors
     ///
-    /// Fails if the connection breaks or falls silent before the end.
+    /// Fails if the connection breaks or stalls before the end.
     pub async fn whole(mut self) -> Result<Whole> {
         let mut text = String::new();
-        while let Some(piece) = self.piece().await? {
-            text.push_str(&piece);
+        while let Some(chunk) = self.piece().await? {
+            text.push_str(&chunk);
         }
         Ok(Whole {
             status: self.status,
@@ -203,37 +205,38 @@
     }
 }
 
-/// An answer that was read to its end.
+/// A response that was read to its end.
 #[derive(Clone, Debug)]
 pub struct Whole {
-    /// Its status.
+    /// Status code.
     pub status: StatusCode,
-    /// Its headers.
+    /// Headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body.
     pub text: String,
 }
 
 impl Whole {
-    /// Returns the body as JSON, null if it is none.
+    /// Returns the body as JSON; null if it is not JSON.
     #[must_use]
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.text).unwrap_or_default()
     }
 
-    /// Returns the `run` member of a problem body, empty if there is none.
+    /// Returns the `run` field of an error body, which says whether the request
+    /// may have been executed; empty if there is none.
     #[must_use]
     pub fn run(&self) -> String {
         self.json()["run"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// Returns whether it is a stream that was ended by `[DONE]`.
+    /// Returns whether the body is a stream that ends with `[DONE]`.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.text.trim_end().ends_with("data: [DONE]")
     }
 
-    /// Returns the content of a completion, streamed or not.
+    /// Returns the text of a chat completion, streamed or not.
     #[must_use]
     pub fn content(&self) -> String {
         if let Some(content) = self.json()["choices"][0]["message"]["content"].as_str() {
@@ -259,22 +262,25 @@
 ///
 /// # Errors
 ///
-/// Fails if it does not answer.
+/// Fails if the stand-in does not respond.
 pub async fn control(address: &str) -> Result<Value> {
-    let answer = Call::new(address, Method::GET, "/control").text().await?;
-    Ok(answer.json())
+    let response = Call::new(address, Method::GET, "/control").text().await?;
+    Ok(response.json())
 }
 
-/// Changes switches of a stand-in.
+/// Sets controls of a stand-in.
 ///
 /// # Errors
 ///
-/// Fails if it does not answer or does not accept them.
+/// Fails if the stand-in does not respond or rejects them.
 pub async fn switch(address: &str, change: &Value) -> Result<()> {
     let call = Call::new(address, Method::PUT, "/control").json(change);
-    let answer = call.text().await?;
-    if answer.status != StatusCode::OK {
-        bail!("{change} was refused: {}", answer.text);
+    let response = call.text().await?;
+    if response.status != StatusCode::OK {
+        bail!(
+            "{address} rejected the controls {change}: {}",
+            response.text
+        );
     }
     Ok(())
 }
--- a/testutils/src/deployment.rs
+++ b/testutils/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A whole deployment on this machine: stand-ins and nodes as processes.
+//! A complete deployment on this machine: stand-ins and nodes as processes.
 
 use std::{
     collections::BTreeMap,
@@ -20,20 +20,21 @@
     wait::eventually,
 };
 
-/// Number of lines of each log that are shown when a test panics.
-const SHOWN_LOG_LINES: usize = 25;
+/// Number of last lines of each node's log that are printed when a test panics.
+const MAX_PRINTED_LOG_LINES: usize = 25;
 
-/// An endpoint and how it is listed.
+/// An endpoint and its entry in the host list.
 #[derive(Debug)]
 struct Endpoint {
     process: Process,
+    /// Name of the stand-in's program.
     program: String,
     service: String,
     data_centre: String,
     leaving: bool,
 }
 
-/// A node and how it is listed.
+/// A node and its entry in the host list.
 #[derive(Debug)]
 struct Node {
     process: Process,
@@ -41,7 +42,7 @@
     leaving: bool,
 }
 
-/// Stand-ins and nodes; all end when it is dropped.
+/// Stand-ins and nodes, which are all killed on drop.
 #[derive(Debug)]
 pub struct Deployment {
     directory: TempDir,
@@ -49,12 +50,14 @@
     hosts: Process,
     endpoints: BTreeMap<String, Endpoint>,
     nodes: BTreeMap<String, Node>,
-    overrides: String,
+    /// YAML that is appended to the nodes' settings.
+    extra_settings: String,
+    /// Generation of the configuration that was applied last.
     generation: AtomicU64,
 }
 
 impl Deployment {
-    /// Starts the platform's stand-ins.
+    /// Starts the stand-ins for the key-value service and the host list.
     ///
     /// # Errors
     ///
@@ -70,18 +73,18 @@
             hosts,
             endpoints: BTreeMap::new(),
             nodes: BTreeMap::new(),
-            overrides: String::new(),
+            extra_settings: String::new(),
             generation: AtomicU64::new(0),
         })
     }
 
     /// Adds lines to the settings of the nodes that are started from now on.
-    pub fn add_settings(&mut self, yaml: &str) {
-        self.overrides.push_str(yaml);
-        self.overrides.push('\n');
+    pub fn add_node_settings(&mut self, yaml: &str) {
+        self.extra_settings.push_str(yaml);
+        self.extra_settings.push('\n');
     }
 
-    /// Starts a model engine that has these models.
+    /// Starts a model engine with these models and adds it to the host list.
     ///
     /// # Errors
     ///
@@ -98,7 +101,7 @@
         self.switch(name, &json!({"models": models})).await
     }
 
-    /// Starts a plain service.
+    /// Starts a plain service and adds it to the host list.
     ///
     /// # Errors
     ///
@@ -116,24 +119,27 @@
         data_centre: &str,
     ) -> Result<()> {
         let endpoint = Endpoint {
-            process: Process::start(program, &[], &self.log(name)).await?,
+            process: Process::start(program, &[], &self.log_path(name)).await?,
             program: program.to_owned(),
             service: service.to_owned(),
             data_centre: data_centre.to_owned(),
             leaving: false,
         };
         self.endpoints.insert(name.to_owned(), endpoint);
-        self.publish().await
+        self.publish_host_list().await
     }
 
-    /// Starts an endpoint again at its address.
+    /// Kills an endpoint and starts it again at the same address.
     ///
     /// # Errors
     ///
-    /// Fails if it is not known or does not start.
+    /// Fails if it is unknown or does not start.
     pub async fn restart_endpoint(&mut self, name: &str) -> Result<()> {
-        let log = self.log(name);
-        let endpoint = self.endpoints.get_mut(name).ok_or_else(|| unknown(name))?;
+        let log = self.log_path(name);
+        let endpoint = self
+            .endpoints
+            .get_mut(name)
+            .ok_or_else(|| unknown_name(name))?;
         endpoint.process.kill().await?;
         let address = endpoint.process.address("address");
         let arguments = ["--listen", address.as_str()];
@@ -141,30 +147,30 @@
         Ok(())
     }
 
-    /// Starts a node and lists it.
+    /// Starts a node and adds it to the host list.
     ///
     /// # Errors
     ///
     /// Fails if it does not start.
     pub async fn add_node(&mut self, name: &str, data_centre: &str) -> Result<()> {
         let settings = self.write_settings(name, data_centre)?;
-        let arguments = ["--settings", text(&settings)?];
+        let arguments = ["--settings", path_str(&settings)?];
         let node = Node {
-            process: Process::start("dottereltally", &arguments, &self.log(name)).await?,
+            process: Process::start("dottereltally", &arguments, &self.log_path(name)).await?,
             data_centre: data_centre.to_owned(),
             leaving: false,
         };
         self.nodes.insert(name.to_owned(), node);
-        self.publish().await
+        self.publish_host_list().await
     }
 
-    /// Kills a node and starts it again under its name, at new addresses.
+    /// Kills a node and starts it again with the same name, at new addresses.
     ///
     /// # Errors
     ///
-    /// Fails if it is not known or does not start.
+    /// Fails if it is unknown or does not start.
     pub async fn restart_node(&mut self, name: &str) -> Result<()> {
-        let node = self.nodes.get_mut(name).ok_or_else(|| unknown(name))?;
+        let node = self.nodes.get_mut(name).ok_or_else(|| unknown_name(name))?;
         node.process.kill().await?;
         let data_centre = node.data_centre.clone();
         self.add_node(name, &data_centre).await
@@ -172,26 +178,26 @@
 
     fn write_settings(&self, name: &str, data_centre: &str) -> Result<PathBuf> {
         let path = self.directory.path().join(format!("{name}.yaml"));
-        let any = "127.0.0.1:0";
+        let any_port = "127.0.0.1:0";
         let yaml = format!(
             "node: {name}\n\
              data_centre: {data_centre}\n\
-             listen: {{callers: \"{any}\", peers: \"{any}\", operations: \"{any}\"}}\n\
+             listen: {{callers: \"{any_port}\", peers: \"{any_port}\", operations: \"{any_port}\"}}\n\
              platform: {{kv: [\"{}\"], hosts: \"{}\", timeout: 1s}}\n\
              {}",
             self.kv_address(),
             self.hosts_url(),
-            self.overrides,
+            self.extra_settings,
         );
         fs::write(&path, yaml)?;
         Ok(path)
     }
 
-    /// Kills a node; the host list goes on naming it, as with a lag.
+    /// Kills a node; the host list still contains it, as if the list lagged.
     ///
     /// # Errors
     ///
-    /// Fails if it is not known.
+    /// Fails if it is unknown.
     pub async fn kill_node(&mut self, name: &str) -> Result<()> {
         self.node(name)?.kill().await
     }
@@ -200,18 +206,18 @@
     ///
     /// # Errors
     ///
-    /// Fails if it is not known.
+    /// Fails if it is unknown.
     pub async fn leave(&mut self, name: &str) -> Result<()> {
         if let Some(node) = self.nodes.get_mut(name) {
             node.leaving = true;
         } else {
             let endpoint = self.endpoints.get_mut(name);
-            endpoint.ok_or_else(|| unknown(name))?.leaving = true;
+            endpoint.ok_or_else(|| unknown_name(name))?.leaving = true;
         }
-        self.publish().await
+        self.publish_host_list().await
     }
 
-    /// Removes an entry host or endpoint from the host list and ends it.
+    /// Kills an entry host or endpoint and removes it from the host list.
     ///
     /// # Errors
     ///
@@ -219,10 +225,11 @@
     pub async fn remove(&mut self, name: &str) -> Result<()> {
         self.nodes.remove(name);
         self.endpoints.remove(name);
-        self.publish().await
+        self.publish_host_list().await
     }
 
-    async fn publish(&self) -> Result<()> {
+    /// Sets the groups of the host list to the current nodes and endpoints.
+    async fn publish_host_list(&self) -> Result<()> {
         let mut groups = Vec::new();
         for (name, node) in &self.nodes {
             groups.push(
@@ -230,7 +237,7 @@
                     "role": "entry",
                     "name": name,
                     "data_centre": node.data_centre,
-                    "state": state(node.leaving),
+                    "state": host_state(node.leaving),
                     "operations": node.process.address("operations"),
                 }}),
             );
@@ -241,7 +248,7 @@
                     "role": "endpoint",
                     "name": name,
                     "data_centre": endpoint.data_centre,
-                    "state": state(endpoint.leaving),
+                    "state": host_state(endpoint.leaving),
                     "service": endpoint.service,
                 }}),
             );
@@ -249,25 +256,33 @@
         client::switch(&self.hosts.address("control"), &json!({"groups": groups})).await
     }
 
-    /// Applies an operators' text and returns its generation.
+    /// Applies an operators' configuration with `dottereltallyctl`; returns its
+    /// generation.
     ///
     /// # Errors
     ///
-    /// Fails if the tool refuses it.
+    /// Fails if `dottereltallyctl` rejects it.
     pub async fn apply_text(&self, yaml: &str) -> Result<u64> {
         let file = self.directory.path().join("text.yaml");
         fs::write(&file, yaml)?;
         let (kv, hosts) = (self.kv_address(), self.hosts_url());
         let base = self.generation.load(Ordering::SeqCst).to_string();
         let platform = ["--kv", &kv, "--hosts", &hosts, "--output", "json"];
-        let command = ["apply", "--author", "test", "--base", &base, text(&file)?];
+        let command = [
+            "apply",
+            "--author",
+            "test",
+            "--base",
+            &base,
+            path_str(&file)?,
+        ];
         let arguments = [&platform[..], &command[..]].concat();
         let (status, output) = process::run("dottereltallyctl", &arguments).await?;
         if !status.success() {
-            bail!("dottereltallyctl apply ended with {status}: {output}");
+            bail!("dottereltallyctl apply failed with {status}: {output}");
         }
         let accepted: Value = serde_json::from_str(&output)
-            .wrap_err_with(|| format!("dottereltallyctl printed {output}"))?;
+            .wrap_err_with(|| format!("dottereltallyctl printed {output:?} instead of JSON"))?;
         let generation = accepted["generation"].as_u64().unwrap_or_default();
         self.generation.store(generation, Ordering::SeqCst);
         Ok(generation)
@@ -277,8 +292,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if one does not become so.
-    pub async fn ready(&self) -> Result<()> {
+    /// Fails if a node does not become ready in time.
+    pub async fn wait_until_ready(&self) -> Result<()> {
         for name in self.nodes.keys() {
             eventually(&format!("{name} is ready"), || self.is_ready(name)).await?;
         }
@@ -287,34 +302,34 @@
 
     async fn is_ready(&self, name: &str) -> Option<()> {
         let address = self.operations(name).ok()?;
-        let answer = Call::new(&address, Method::GET, "/readyz").text().await;
-        answer.ok()?.status.is_success().then_some(())
+        let response = Call::new(&address, Method::GET, "/readyz").text().await;
+        response.ok()?.status.is_success().then_some(())
     }
 
     /// Returns the status page of a node.
     ///
     /// # Errors
     ///
-    /// Fails if it does not answer.
+    /// Fails if the node is unknown or does not respond.
     pub async fn status(&self, name: &str) -> Result<Value> {
         let call = Call::new(&self.operations(name)?, Method::GET, "/status");
         Ok(call.text().await?.json())
     }
 
-    /// Changes switches of `kv`, `hosts` or an endpoint.
+    /// Sets controls of the stand-in `kv`, `hosts` or an endpoint.
     ///
     /// # Errors
     ///
-    /// Fails if it is not known or does not accept them.
+    /// Fails if the stand-in is unknown or rejects them.
     pub async fn switch(&self, name: &str, change: &Value) -> Result<()> {
         client::switch(&self.control_address(name)?, change).await
     }
 
-    /// Returns what `kv`, `hosts` or an endpoint has counted.
+    /// Returns the counters of the stand-in `kv`, `hosts` or an endpoint.
     ///
     /// # Errors
     ///
-    /// Fails if it is not known or does not answer.
+    /// Fails if the stand-in is unknown or does not respond.
     pub async fn counts(&self, name: &str) -> Result<Value> {
         let page = client::control(&self.control_address(name)?).await?;
         Ok(page["counts"].clone())
@@ -328,7 +343,7 @@
                 &self
                     .endpoints
                     .get(name)
-                    .ok_or_else(|| unknown(name))?
+                    .ok_or_else(|| unknown_name(name))?
                     .process
             }
         };
@@ -351,9 +366,9 @@
     ///
     /// # Errors
     ///
-    /// Fails if it is not known.
+    /// Fails if it is unknown.
     pub fn node(&mut self, name: &str) -> Result<&mut Process> {
-        let node = self.nodes.get_mut(name).ok_or_else(|| unknown(name))?;
+        let node = self.nodes.get_mut(name).ok_or_else(|| unknown_name(name))?;
         Ok(&mut node.process)
     }
 
@@ -361,19 +376,22 @@
     ///
     /// # Errors
     ///
-    /// Fails if it is not known.
+    /// Fails if it is unknown.
     pub fn endpoint(&mut self, name: &str) -> Result<&mut Process> {
-        let endpoint = self.endpoints.get_mut(name).ok_or_else(|| unknown(name))?;
+        let endpoint = self
+            .endpoints
+            .get_mut(name)
+            .ok_or_else(|| unknown_name(name))?;
         Ok(&mut endpoint.process)
     }
 
-    /// Returns the address of a node for callers.
+    /// Returns the address at which a node serves callers.
     ///
     /// # Errors
     ///
-    /// Fails if it is not known.
+    /// Fails if it is unknown.
     pub fn callers(&self, name: &str) -> Result<String> {
-        let node = self.nodes.get(name).ok_or_else(|| unknown(name))?;
+        let node = self.nodes.get(name).ok_or_else(|| unknown_name(name))?;
         Ok(node.process.address("callers"))
     }
 
@@ -381,9 +399,9 @@
     ///
     /// # Errors
     ///
-    /// Fails if it is not known.
+    /// Fails if it is unknown.
     pub fn operations(&self, name: &str) -> Result<String> {
-        let node = self.nodes.get(name).ok_or_else(|| unknown(name))?;
+        let node = self.nodes.get(name).ok_or_else(|| unknown_name(name))?;
         Ok(node.process.address("operations"))
     }
 
@@ -393,13 +411,13 @@
         self.kv.address("address")
     }
 
-    /// Returns the address of the host list.
+    /// Returns the URL of the host list.
     #[must_use]
     pub fn hosts_url(&self) -> String {
         format!("http://{}/hosts", self.hosts.address("address"))
     }
 
-    fn log(&self, name: &str) -> PathBuf {
+    fn log_path(&self, name: &str) -> PathBuf {
         self.directory.path().join(format!("{name}.log"))
     }
 }
@@ -410,29 +428,29 @@
             return;
         }
         for name in self.nodes.keys() {
-            let log = fs::read_to_string(self.log(name)).unwrap_or_default();
+            let log = fs::read_to_string(self.log_path(name)).unwrap_or_default();
             let lines: Vec<&str> = log.lines().collect();
-            let shown = lines.len().saturating_sub(SHOWN_LOG_LINES);
-            eprintln!("log of {name}:\n{}", lines[shown..].join("\n"));
+            let start = lines.len().saturating_sub(MAX_PRINTED_LOG_LINES);
+            eprintln!("log of {name}:\n{}", lines[start..].join("\n"));
         }
     }
 }
 
-/// Returns the form in which the operators' text lists a bearer key.
+/// Returns the hash by which the operators' configuration lists a bearer key.
 #[must_use]
 pub fn hash(key: &str) -> String {
     format!("sha256:{:x}", Sha256::digest(key.as_bytes()))
 }
 
-const fn state(leaving: bool) -> &'static str {
+const fn host_state(leaving: bool) -> &'static str {
     if leaving { "leaving" } else { "live" }
 }
 
-fn text(path: &Path) -> Result<&str> {
+fn path_str(path: &Path) -> Result<&str> {
     path.to_str()
         .ok_or_else(|| eyre!("{} is not UTF-8", path.display()))
 }
 
-fn unknown(name: &str) -> eyre::Report {
+fn unknown_name(name: &str) -> eyre::Report {
     eyre!("{name} is not part of the deployment")
 }
--- a/testutils/src/fixture.rs
+++ b/testutils/src/fixture.rs
@@ -12,18 +12,20 @@
 
 /// Bearer key of the workspace `demo`, which has no limit.
 pub const KEY: &str = "demo-key";
-/// Bearer key of the workspace `small`, which may have one request at a time.
+/// Bearer key of the workspace `small`, which is limited to one request at a
+/// time.
 pub const SMALL_KEY: &str = "small-key";
-/// Data centre of the first node and of the endpoints.
-pub const HOME: &str = "plovdiv";
-/// Data centre of the second node and of every other one after it.
-pub const AWAY: &str = "stara-zagora";
-/// Models of the engines.
+/// Data centre of the endpoints and of the nodes with odd numbers.
+pub const FIRST_DATA_CENTRE: &str = "plovdiv";
+/// Data centre of the nodes with even numbers.
+pub const SECOND_DATA_CENTRE: &str = "stara-zagora";
+/// Model and adapter that the engines have loaded.
 pub const MODELS: [&str; 2] = ["tally-7b", "disputes"];
 
-/// Numbers of the programs to start.
+/// The size of the deployment to start.
 ///
-/// Nodes are `entry-1`, ..., engines `tally-1`, ..., ledgers `ledger-1`, ....
+/// Nodes are named `entry-1`, ..., engines `tally-1`, ..., ledgers `ledger-1`,
+/// ....
 #[derive(Clone, Debug)]
 pub struct Fixture {
     /// Number of nodes.
@@ -32,7 +34,7 @@
     pub engines: usize,
     /// Number of plain services.
     pub ledgers: usize,
-    /// Further lines of the nodes' settings.
+    /// Additional lines for the nodes' settings, in YAML.
     pub settings: String,
 }
 
@@ -47,7 +49,7 @@
     }
 }
 
-/// Returns the operators' text of the fixture.
+/// Returns the operators' configuration of the fixture, in YAML.
 #[must_use]
 pub fn text() -> String {
     let (key, small) = (deployment::hash(KEY), deployment::hash(SMALL_KEY));
@@ -80,26 +82,33 @@
         }
     }
 
-    /// Starts everything, applies the text and waits until it is in force.
+    /// Starts all programs, applies the configuration and waits until every node
+    /// uses it.
     ///
     /// # Errors
     ///
     /// Fails if a program does not start or become ready.
     pub async fn start(&self) -> Result<Deployment> {
         let mut deployment = Deployment::start().await?;
-        deployment.add_settings(&self.settings);
+        deployment.add_node_settings(&self.settings);
         for number in 1..=self.engines {
             let name = format!("tally-{number}");
             deployment
-                .add_engine(&name, "tally-llm", HOME, &MODELS)
+                .add_engine(&name, "tally-llm", FIRST_DATA_CENTRE, &MODELS)
                 .await?;
         }
         for number in 1..=self.ledgers {
             let name = format!("ledger-{number}");
-            deployment.add_ledger(&name, "yard-app", HOME).await?;
+            deployment
+                .add_ledger(&name, "yard-app", FIRST_DATA_CENTRE)
+                .await?;
         }
         for number in 1..=self.nodes {
-            let data_centre = if number % 2 == 1 { HOME } else { AWAY };
+            let data_centre = if number % 2 == 1 {
+                FIRST_DATA_CENTRE
+            } else {
+                SECOND_DATA_CENTRE
+            };
             let name = format!("entry-{number}");
             deployment.add_node(&name, data_centre).await?;
         }
@@ -110,68 +119,69 @@
 }
 
 impl Deployment {
-    /// Waits until every running node is ready, knows every other one and
-    /// every endpoint, and has this generation or a later one in force.
+    /// Waits until every running node is ready, knows every other node and
+    /// every endpoint, and uses this configuration generation or a later one.
     ///
     /// # Errors
     ///
-    /// Fails if one does not get there.
+    /// Fails if a node does not get there in time.
     pub async fn settled(&self, generation: u64) -> Result<()> {
-        self.ready().await?;
+        self.wait_until_ready().await?;
         let names = self.node_names();
         for name in &names {
-            let what = format!("{name} knows generation {generation} and the others");
+            let what = format!("{name} uses generation {generation} and knows all members");
             eventually(&what, async || {
                 let status = self.status(name).await.ok()?;
-                let knows = |member: &str, number: usize| {
-                    status[member].as_array().map(Vec::len) == Some(number)
+                let has_length = |list: &str, length: usize| {
+                    status[list].as_array().map(Vec::len) == Some(length)
                 };
-                let current = status["generation"].as_u64()? >= generation;
-                let peers = knows("peers", names.len() - 1);
-                let endpoints = knows("endpoints", self.endpoint_names().len());
-                (current && peers && endpoints).then_some(())
+                let is_current = status["generation"].as_u64()? >= generation;
+                let peers = has_length("peers", names.len() - 1);
+                let endpoints = has_length("endpoints", self.endpoint_names().len());
+                (is_current && peers && endpoints).then_some(())
             })
             .await
-            .wrap_err(format!("its status: {:?}", self.status(name).await))?;
+            .wrap_err(format!("status of {name}: {:?}", self.status(name).await))?;
         }
         Ok(())
     }
 
-    /// Prepares a request with the unlimited workspace's key.
+    /// Prepares a request to a node with the bearer key [`KEY`].
     ///
     /// # Errors
     ///
-    /// Fails if the node is not known.
+    /// Fails if the node is unknown.
     pub fn call(&self, node: &str, method: Method, path: &str) -> Result<Call> {
         Ok(Call::new(&self.callers(node)?, method, path).key(KEY))
     }
 
-    /// Prepares a streamed completion.
+    /// Prepares a request for a streamed chat completion.
     ///
     /// # Errors
     ///
-    /// Fails if the node is not known.
+    /// Fails if the node is unknown.
     pub fn chat(&self, node: &str, prompt: &str, tokens: u64) -> Result<Call> {
         let call = self.call(node, Method::POST, "/v1/chat/completions")?;
         Ok(call.json(&chat_body(prompt, tokens)))
     }
 
-    /// Prepares a payment.
+    /// Prepares a payment with this idempotency key.
     ///
     /// # Errors
     ///
-    /// Fails if the node is not known.
+    /// Fails if the node is unknown.
     pub fn pay(&self, node: &str, key: &str) -> Result<Call> {
         let call = self.call(node, Method::POST, "/payments")?;
         let call = call.header("idempotency-key", key);
         Ok(call.json(&json!({"payment": key})))
     }
 
-    /// Returns how often the plain services ran a payment.
+    /// Returns how often the plain services executed the payment with this
+    /// idempotency key.
     ///
     /// # Errors
     ///
-    /// Fails if one does not answer.
+    /// Fails if an endpoint does not respond.
     pub async fn payments(&self, key: &str) -> Result<u64> {
         let mut runs = 0;
         for name in self.endpoint_names() {
@@ -181,13 +191,13 @@
         Ok(runs)
     }
 
-    /// Waits until a count of an endpoint reaches a number.
+    /// Waits until a counter of an endpoint is at least `number`.
     ///
     /// # Errors
     ///
-    /// Fails if it does not.
+    /// Fails if that does not happen in time.
     pub async fn reaches(&self, endpoint: &str, count: &str, number: u64) -> Result<()> {
-        let what = format!("{count} of {endpoint} reaches {number}");
+        let what = format!("{count} of {endpoint} is at least {number}");
         eventually(&what, async || {
             let counts = self.counts(endpoint).await.ok()?;
             (counts[count].as_u64()? >= number).then_some(())
@@ -196,7 +206,7 @@
     }
 }
 
-/// Builds the body of a streamed completion.
+/// Builds the body of a request for a streamed chat completion.
 #[must_use]
 pub fn chat_body(prompt: &str, tokens: u64) -> Value {
     json!({
--- a/testutils/src/process.rs
+++ b/testutils/src/process.rs
@@ -1,4 +1,4 @@
-//! Runs the programs of the repository.
+//! Runs the repository's programs as child processes.
 
 use std::{
     env,
@@ -19,14 +19,15 @@
     time::timeout,
 };
 
-use crate::wait::BOUND;
+use crate::wait::TIMEOUT;
 
-/// Finds a program or an example of the repository beside this one.
+/// Finds a program or an example of the repository near the current executable,
+/// in the same build directory.
 ///
 /// # Errors
 ///
 /// Fails if it has not been built.
-pub fn find(name: &str) -> Result<PathBuf> {
+pub fn find_executable(name: &str) -> Result<PathBuf> {
     let current = env::current_exe()?;
     for directory in current.ancestors().skip(1) {
         for candidate in [directory.join(name), directory.join("examples").join(name)] {
@@ -41,24 +42,25 @@
     bail!("{name} is not built; run `cargo build --workspace --bins --examples` first")
 }
 
-/// A running program, killed when dropped.
+/// A running program, which is killed on drop.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
     pid: Pid,
-    /// What it printed once it listened.
-    pub line: Value,
+    /// The line of JSON that it printed when it was ready, with its addresses.
+    pub ready_line: Value,
 }
 
 impl Process {
-    /// Starts a program and waits for its line; its log goes to a file.
+    /// Starts a program and waits for its first line on standard output; its
+    /// standard error is appended to the file `log`.
     ///
     /// # Errors
     ///
-    /// Fails if it is not built or ends before it prints the line.
+    /// Fails if the program is not built or exits before it prints the line.
     pub async fn start(name: &str, arguments: &[&str], log: &Path) -> Result<Self> {
         let file = File::options().create(true).append(true).open(log)?;
-        let mut child = Command::new(find(name)?)
+        let mut child = Command::new(find_executable(name)?)
             .args(arguments)
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
@@ -66,76 +68,90 @@
             .kill_on_drop(true)
             .spawn()
             .wrap_err_with(|| format!("can't start {name}"))?;
-        let id = child.id().ok_or_else(|| eyre!("{name} has ended"))?;
+        let id = child
+            .id()
+            .ok_or_else(|| eyre!("{name} has already exited"))?;
         let pid = Pid::from_raw(i32::try_from(id)?);
-        let stdout = child.stdout.take().ok_or_else(|| eyre!("no output"))?;
+        let stdout = child
+            .stdout
+            .take()
+            .ok_or_else(|| eyre!("{name} has no standard output"))?;
         let mut lines = BufReader::new(stdout).lines();
-        let line = timeout(BOUND, lines.next_line())
+        let line = timeout(TIMEOUT, lines.next_line())
             .await
-            .wrap_err_with(|| format!("{name} printed nothing"))??
-            .ok_or_else(|| eyre!("{name} ended at once; see {}", log.display()))?;
-        // Reads on, so that the program never blocks on its output.
+            .wrap_err_with(|| format!("{name} printed nothing within {TIMEOUT:?}"))??
+            .ok_or_else(|| eyre!("{name} exited before it was ready; see {}", log.display()))?;
+        // Keeps reading, so that the program never blocks on a full pipe.
         tokio::spawn(async move { while let Ok(Some(_)) = lines.next_line().await {} });
-        let line = serde_json::from_str(&line)
-            .wrap_err_with(|| format!("{name} printed {line} in place of JSON"))?;
-        Ok(Self { child, pid, line })
+        let ready_line = serde_json::from_str(&line)
+            .wrap_err_with(|| format!("{name} printed {line:?} instead of JSON"))?;
+        Ok(Self {
+            child,
+            pid,
+            ready_line,
+        })
     }
 
-    /// Returns a member of the line that it printed.
+    /// Returns an address from the line that the program printed when it was
+    /// ready; empty if there is none with this name.
     #[must_use]
-    pub fn address(&self, member: &str) -> String {
-        self.line[member].as_str().unwrap_or_default().to_owned()
+    pub fn address(&self, name: &str) -> String {
+        self.ready_line[name]
+            .as_str()
+            .unwrap_or_default()
+            .to_owned()
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     ///
     /// # Errors
     ///
-    /// Fails if the process has ended.
+    /// Fails if the process has exited.
     pub fn signal(&self, signal: Signal) -> Result<()> {
-        kill(self.pid, signal).wrap_err_with(|| format!("can't send {signal}"))
+        kill(self.pid, signal).wrap_err_with(|| format!("can't send {signal} to the process"))
     }
 
-    /// Returns whether it runs.
+    /// Returns whether the process is running.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Waits for its end.
+    /// Waits until the process exits.
     ///
     /// # Errors
     ///
-    /// Fails if it does not end.
+    /// Fails if it does not exit within [`TIMEOUT`].
     pub async fn wait(&mut self) -> Result<ExitStatus> {
-        Ok(timeout(BOUND, self.child.wait())
+        Ok(timeout(TIMEOUT, self.child.wait())
             .await
-            .wrap_err("the process goes on running")??)
+            .wrap_err("the process did not exit in time")??)
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits until it exits.
     ///
     /// # Errors
     ///
-    /// Fails if it can't be killed.
+    /// Fails if the process can't be killed.
     pub async fn kill(&mut self) -> Result<()> {
         Ok(self.child.kill().await?)
     }
 }
 
-/// Runs a program to its end and returns what it printed on both outputs.
+/// Runs a program until it exits; returns its standard output followed by its
+/// standard error.
 ///
 /// # Errors
 ///
-/// Fails if it can't be started or does not end.
+/// Fails if the program can't be started or does not exit within [`TIMEOUT`].
 pub async fn run(name: &str, arguments: &[&str]) -> Result<(ExitStatus, String)> {
-    let mut command = Command::new(find(name)?);
+    let mut command = Command::new(find_executable(name)?);
     command
         .args(arguments)
         .stdin(Stdio::null())
         .kill_on_drop(true);
-    let output = timeout(BOUND, command.output())
+    let output = timeout(TIMEOUT, command.output())
         .await
-        .wrap_err_with(|| format!("{name} goes on running"))??;
+        .wrap_err_with(|| format!("{name} did not exit within {TIMEOUT:?}"))??;
     let mut text = String::from_utf8_lossy(&output.stdout).into_owned();
     text.push_str(&String::from_utf8_lossy(&output.stderr));
     Ok((output.status, text))
--- a/testutils/src/wait.rs
+++ b/testutils/src/wait.rs
@@ -5,24 +5,25 @@
 use eyre::{Result, bail};
 use tokio::time::{Instant, sleep};
 
-/// Time between two looks at a condition.
+/// Time between two evaluations of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time after which a condition is taken never to hold.
-pub const BOUND: Duration = Duration::from_mins(1);
+/// Time after which waiting fails.
+pub const TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Polls until the condition yields a value.
+/// Polls until the condition yields a value; `what` describes the condition in
+/// the error.
 ///
 /// # Errors
 ///
-/// Fails if it has not within [`BOUND`].
+/// Fails if it does not within [`TIMEOUT`].
 pub async fn eventually<T>(what: &str, mut condition: impl AsyncFnMut() -> Option<T>) -> Result<T> {
-    let end = Instant::now() + BOUND;
+    let deadline = Instant::now() + TIMEOUT;
     loop {
         if let Some(value) = condition().await {
             return Ok(value);
         }
-        if Instant::now() >= end {
-            bail!("{what}: not so within {BOUND:?}");
+        if Instant::now() >= deadline {
+            bail!("{what}: condition not met within {TIMEOUT:?}");
         }
         sleep(POLL_INTERVAL).await;
     }
