--- a/testutils/examples/demo.rs
+++ b/testutils/examples/demo.rs
@@ -1,5 +1,6 @@
-//! Shows the whole system on one machine: three nodes in two data centres
-//! before stand-ins of the engines, the plain service and the platform.
+//! Demonstrates the complete system on one machine: three nodes in two data
+//! centres in front of stand-ins for the engines, the plain service and the
+//! platform.
 
 use dottereltally_testutils::{
     client::{Call, Whole},
@@ -10,17 +11,17 @@
 use serde_json::json;
 use tokio::signal;
 
-/// The operators' text that is applied.
-const TEXT: &str = include_str!("../../examples/demo.yaml");
-/// Bearer key of the text's workspace.
+/// The operators' configuration that is applied.
+const CONFIGURATION: &str = include_str!("../../examples/demo.yaml");
+/// Bearer key of the workspace in the configuration.
 const KEY: &str = "demo-key";
 /// Idempotency key of the payment.
-const PAYMENT: &str = "release-1";
+const PAYMENT_KEY: &str = "release-1";
 
-/// Runs a request of every kind against a deployment on this machine.
+/// Starts a deployment on this machine and sends it a request of each kind.
 #[derive(argh::FromArgs)]
 struct Arguments {
-    /// go on running until interrupted
+    /// keep running until interrupted
     #[argh(switch)]
     stay: bool,
 }
@@ -36,7 +37,7 @@
         print_addresses(&deployment)?;
         signal::ctrl_c().await?;
     }
-    println!("all as expected");
+    println!("all requests succeeded");
     Ok(())
 }
 
@@ -58,9 +59,9 @@
     ] {
         deployment.add_node(name, data_centre).await?;
     }
-    let generation = deployment.apply_text(TEXT).await?;
+    let generation = deployment.apply_text(CONFIGURATION).await?;
     deployment.settled(generation).await?;
-    println!("generation {generation} is in force on 3 nodes in 2 data centres");
+    println!("3 nodes in 2 data centres use configuration generation {generation}");
     Ok(deployment)
 }
 
@@ -73,51 +74,53 @@
         "messages": [{"role": "user", "content": "Draft a quality dispute for ticket 17."}],
     });
     let call = call(deployment, "entry-1", Method::POST, "/v1/chat/completions")?;
-    let mut answer = call.json(&body).send().await?;
-    let status = answer.status;
-    let mut whole = String::new();
-    while let Some(piece) = answer.piece().await? {
-        print!("{piece}");
-        whole.push_str(&piece);
+    let mut response = call.json(&body).send().await?;
+    let status = response.status;
+    let mut text = String::new();
+    while let Some(chunk) = response.piece().await? {
+        print!("{chunk}");
+        text.push_str(&chunk);
     }
     ensure!(
-        status.is_success() && whole.trim_end().ends_with("data: [DONE]"),
-        "the completion was not whole: {status}"
+        status.is_success() && text.trim_end().ends_with("data: [DONE]"),
+        "the completion failed or is incomplete: {status}"
     );
     Ok(())
 }
 
+/// Reads a ticket through the node of the other data centre.
 async fn read_ticket(deployment: &Deployment) -> Result<()> {
-    let answer = call(deployment, "entry-3", Method::GET, "/tickets/17")?;
-    let answer = answer.text().await?;
-    println!("GET /tickets/17: {} {}", answer.status, answer.text);
-    ensure!(answer.status.is_success(), "the ticket was not read");
+    let call = call(deployment, "entry-3", Method::GET, "/tickets/17")?;
+    let response = call.text().await?;
+    println!("GET /tickets/17: {} {}", response.status, response.text);
+    ensure!(response.status.is_success(), "reading the ticket failed");
     Ok(())
 }
 
-/// Sends one payment through two nodes of different data centres.
+/// Sends the same payment through two nodes in different data centres, which
+/// must execute it only once.
 async fn pay_twice(deployment: &Deployment) -> Result<()> {
     for node in ["entry-1", "entry-3"] {
-        let answer = pay(deployment, node).await?;
+        let response = pay(deployment, node).await?;
         println!(
             "POST /payments through {node}: {} {}",
-            answer.status, answer.text
+            response.status, response.text
         );
         ensure!(
-            answer.status.is_success(),
-            "{node} did not answer the payment"
+            response.status.is_success(),
+            "the payment through {node} failed"
         );
     }
     let counts = deployment.counts("ledger-1").await?;
-    let runs = counts["by_key"][PAYMENT].as_u64().unwrap_or(0);
-    println!("the ledger ran the payment {runs} time(s)");
-    ensure!(runs == 1, "the payment ran {runs} times");
+    let runs = counts["by_key"][PAYMENT_KEY].as_u64().unwrap_or(0);
+    println!("the ledger executed the payment {runs} time(s)");
+    ensure!(runs == 1, "the payment was executed {runs} times");
     Ok(())
 }
 
 async fn pay(deployment: &Deployment, node: &str) -> Result<Whole> {
     let call = call(deployment, node, Method::POST, "/payments")?;
-    call.header("idempotency-key", PAYMENT)
+    call.header("idempotency-key", PAYMENT_KEY)
         .json(&json!({"ticket": 17, "amount": 120}))
         .text()
         .await
@@ -134,6 +137,6 @@
     }
     let (kv, hosts) = (deployment.kv_address(), deployment.hosts_url());
     println!("export DOTTERELTALLY_KV={kv} DOTTERELTALLY_HOSTS={hosts}");
-    println!("bearer key: {KEY}; interrupt to end");
+    println!("bearer key: {KEY}; press Ctrl-C to stop");
     Ok(())
 }
--- a/testutils/examples/engine.rs
+++ b/testutils/examples/engine.rs
@@ -1,11 +1,11 @@
-//! Stand-in of the model engine as a program.
+//! Runs the stand-in for a model engine as a program.
 
 use std::net::SocketAddr;
 
 use dottereltally_testutils::{engine::Engine, server};
 use eyre::Result;
 
-/// Stands in for the model engine.
+/// Stand-in for a model engine.
 #[derive(argh::FromArgs)]
 struct Arguments {
     /// address to listen on
--- a/testutils/examples/hosts.rs
+++ b/testutils/examples/hosts.rs
@@ -1,11 +1,11 @@
-//! Stand-in of the host list as a program.
+//! Runs the stand-in for the host list as a program.
 
 use std::{net::SocketAddr, sync::Arc};
 
 use dottereltally_testutils::{host_list::HostList, server};
 use eyre::Result;
 
-/// Stands in for the host list.
+/// Stand-in for the host list.
 #[derive(argh::FromArgs)]
 struct Arguments {
     /// address to listen on
--- a/testutils/examples/kv.rs
+++ b/testutils/examples/kv.rs
@@ -1,11 +1,11 @@
-//! Stand-in of the key-value service as a program.
+//! Runs the stand-in for the key-value service as a program.
 
 use std::net::SocketAddr;
 
 use dottereltally_testutils::{kv::Kv, server};
 use eyre::Result;
 
-/// Stands in for the key-value service.
+/// Stand-in for the key-value service.
 #[derive(argh::FromArgs)]
 struct Arguments {
     /// address to listen on
--- a/testutils/examples/ledger.rs
+++ b/testutils/examples/ledger.rs
@@ -1,11 +1,11 @@
-//! Stand-in of the plain service as a program.
+//! Runs the stand-in for a plain service as a program.
 
 use std::{net::SocketAddr, sync::Arc};
 
 use dottereltally_testutils::{ledger::Ledger, server};
 use eyre::Result;
 
-/// Stands in for the plain service.
+/// Stand-in for a plain service.
 #[derive(argh::FromArgs)]
 struct Arguments {
     /// address to listen on
--- a/testutils/tests/test_engine.rs
+++ b/testutils/tests/test_engine.rs
@@ -1,4 +1,4 @@
-//! The stand-in of a model engine.
+//! Tests of the stand-in for a model engine.
 
 use dottereltally_testutils::{
     client::{Call, control, switch},
@@ -32,7 +32,7 @@
     Ok(control(&engine.control.to_string()).await?["counts"].clone())
 }
 
-async fn set(engine: &Addresses, change: &Value) -> Result<()> {
+async fn set_controls(engine: &Addresses, change: &Value) -> Result<()> {
     switch(&engine.control.to_string(), change).await
 }
 
@@ -40,13 +40,13 @@
 #[case(true)]
 #[case(false)]
 #[tokio::test]
-async fn answers_whole(#[case] stream: bool) -> Result<()> {
+async fn responses_are_complete(#[case] stream: bool) -> Result<()> {
     let engine = start().await?;
-    let answer = chat(&engine, "hello", stream).text().await?;
-    assert_eq!(answer.content(), format::text("hello", 5));
-    assert_eq!(answer.is_done(), stream);
-    assert_eq!(answer.headers["x-request-id"], "n-1");
-    let load = answer.headers["endpoint-load-metrics"].to_str()?;
+    let response = chat(&engine, "hello", stream).text().await?;
+    assert_eq!(response.content(), format::text("hello", 5));
+    assert_eq!(response.is_done(), stream);
+    assert_eq!(response.headers["x-request-id"], "n-1");
+    let load = response.headers["endpoint-load-metrics"].to_str()?;
     assert!(load.starts_with("JSON {\"named_metrics\""), "{load}");
     Ok(())
 }
@@ -56,8 +56,8 @@
     let engine = start().await?;
     let prompt = "x".repeat(1024);
     chat(&engine, &prompt, false).text().await?;
-    let answer = chat(&engine, &prompt, false).text().await?;
-    let usage = &answer.json()["usage"];
+    let response = chat(&engine, &prompt, false).text().await?;
+    let usage = &response.json()["usage"];
     assert_eq!(usage["prompt_tokens"], 256);
     assert_eq!(usage["prompt_tokens_details"]["cached_tokens"], 256);
     assert_eq!(counts(&engine).await?["prompt_tokens_computed"], 256);
@@ -72,13 +72,13 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_cancels() -> Result<()> {
+async fn a_disconnected_caller_cancels_its_request() -> Result<()> {
     let engine = start().await?;
-    set(&engine, &json!({"decode_ms": 50.0})).await?;
-    let mut answer = chat(&engine, "hello", true).send().await?;
-    answer.piece().await?;
-    drop(answer);
-    eventually("the engine noticed", async || {
+    set_controls(&engine, &json!({"decode_ms": 50.0})).await?;
+    let mut response = chat(&engine, "hello", true).send().await?;
+    response.piece().await?;
+    drop(response);
+    eventually("the engine drops the request", async || {
         let counts = counts(&engine).await.ok()?;
         (counts["cancelled"] == 1).then_some(())
     })
@@ -92,47 +92,50 @@
 #[case("during", 1)]
 #[case("after", 1)]
 #[tokio::test]
-async fn dies_when_told(#[case] point: &str, #[case] started: u64) -> Result<()> {
+async fn closes_connections_at_the_set_point(
+    #[case] point: &str,
+    #[case] started: u64,
+) -> Result<()> {
     let engine = start().await?;
-    set(&engine, &json!({"die": point, "die_next": 1})).await?;
-    let answer = chat(&engine, "hello", true).text().await;
-    assert!(answer.is_err());
+    set_controls(&engine, &json!({"die": point, "die_next": 1})).await?;
+    let response = chat(&engine, "hello", true).text().await;
+    assert!(response.is_err());
     assert_eq!(counts(&engine).await?["started"], started);
-    let answer = chat(&engine, "hello", true).text().await?;
-    assert!(answer.is_done());
+    let response = chat(&engine, "hello", true).text().await?;
+    assert!(response.is_done());
     Ok(())
 }
 
 #[tokio::test]
-async fn cuts_a_stream_without_an_error() -> Result<()> {
+async fn ends_a_stream_early_without_an_error() -> Result<()> {
     let engine = start().await?;
-    set(&engine, &json!({"cut_next": 1})).await?;
-    let answer = chat(&engine, "hello", true).text().await?;
-    assert!(!answer.is_done());
-    assert!(!answer.content().is_empty());
+    set_controls(&engine, &json!({"cut_next": 1})).await?;
+    let response = chat(&engine, "hello", true).text().await?;
+    assert!(!response.is_done());
+    assert!(!response.content().is_empty());
     Ok(())
 }
 
 #[tokio::test]
-async fn old_connections_fall_silent_while_new_ones_work() -> Result<()> {
+async fn existing_connections_stall_while_new_ones_work() -> Result<()> {
     let engine = start().await?;
-    set(&engine, &json!({"decode_ms": 20.0})).await?;
+    set_controls(&engine, &json!({"decode_ms": 20.0})).await?;
     let mut old = chat(&engine, "hello", true).send().await?;
     old.piece().await?;
-    set(&engine, &json!({"silent": "existing"})).await?;
+    set_controls(&engine, &json!({"silent": "existing"})).await?;
     assert!(chat(&engine, "new", true).text().await?.is_done());
     tokio::select! {
         biased;
         rest = old.whole() => assert!(!rest?.is_done()),
-        answer = chat(&engine, "newer", true).text() => assert!(answer?.is_done()),
+        response = chat(&engine, "newer", true).text() => assert!(response?.is_done()),
     }
     Ok(())
 }
 
 #[tokio::test]
-async fn says_that_it_leaves() -> Result<()> {
+async fn reports_that_it_is_leaving() -> Result<()> {
     let engine = start().await?;
-    set(&engine, &json!({"leaving": true, "models": ["m"]})).await?;
+    set_controls(&engine, &json!({"leaving": true, "models": ["m"]})).await?;
     let address = engine.address.to_string();
     let load = Call::new(&address, Method::GET, "/load").text().await?;
     assert_eq!(load.json()["state"], "leaving");
@@ -141,9 +144,9 @@
 }
 
 #[tokio::test]
-async fn event_gaps_keep_their_numbers() -> Result<()> {
+async fn skipped_events_use_up_their_numbers() -> Result<()> {
     let engine = start().await?;
-    set(&engine, &json!({"event_gap_next": 2})).await?;
+    set_controls(&engine, &json!({"event_gap_next": 2})).await?;
     chat(&engine, &"x".repeat(1024), false).text().await?;
     let address = engine.address.to_string();
     let mut events = Call::new(&address, Method::GET, "/cache/events")
--- a/testutils/tests/test_kv.rs
+++ b/testutils/tests/test_kv.rs
@@ -1,4 +1,5 @@
-//! The stand-in of the key-value service speaks the gateway's format.
+//! Tests that the stand-in for the key-value service behaves like etcd's JSON
+//! gateway, and of the faults that it can inject.
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 use dottereltally_testutils::{
@@ -18,9 +19,9 @@
 
 async fn call(kv: &Addresses, path: &str, body: &Value) -> Result<Value> {
     let call = Call::new(&kv.address.to_string(), Method::POST, path).json(body);
-    let answer = call.text().await?;
-    assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
-    Ok(answer.json())
+    let response = call.text().await?;
+    assert_eq!(response.status, StatusCode::OK, "{}", response.text);
+    Ok(response.json())
 }
 
 fn b64(text: &str) -> String {
@@ -63,7 +64,7 @@
 #[case(json!({"target": "VALUE", "value": "Mg=="}), false)]
 #[case(json!({"target": "VERSION", "result": "GREATER", "version": "0"}), true)]
 #[tokio::test]
-async fn compares_as_etcd_does(#[case] mut compare: Value, #[case] holds: bool) -> Result<()> {
+async fn compares_as_etcd_does(#[case] mut compare: Value, #[case] expected: bool) -> Result<()> {
     let kv = start().await?;
     call(
         &kv,
@@ -72,8 +73,8 @@
     )
     .await?;
     compare["key"] = json!(b64("a"));
-    let answer = call(&kv, "/v3/kv/txn", &json!({"compare": [compare]})).await?;
-    assert_eq!(answer["succeeded"] == true, holds);
+    let response = call(&kv, "/v3/kv/txn", &json!({"compare": [compare]})).await?;
+    assert_eq!(response["succeeded"] == true, expected);
     Ok(())
 }
 
@@ -89,24 +90,24 @@
         .await?;
     }
     let query = json!({"key": b64("p/"), "range_end": b64("p0"), "limit": "1"});
-    let answer = call(&kv, "/v3/kv/range", &query).await?;
-    assert_eq!(answer["count"], "2");
-    assert_eq!(answer["more"], true);
-    assert_eq!(answer["kvs"].as_array().map(Vec::len), Some(1));
+    let response = call(&kv, "/v3/kv/range", &query).await?;
+    assert_eq!(response["count"], "2");
+    assert_eq!(response["more"], true);
+    assert_eq!(response["kvs"].as_array().map(Vec::len), Some(1));
     Ok(())
 }
 
 #[tokio::test]
-async fn a_lapsed_lease_takes_its_keys_along() -> Result<()> {
+async fn an_expired_lease_deletes_its_keys() -> Result<()> {
     let kv = start().await?;
     let lease = call(&kv, "/v3/lease/grant", &json!({"TTL": "1"})).await?;
     let put = json!({"key": b64("a"), "value": b64("1"), "lease": lease["ID"]});
     call(&kv, "/v3/kv/put", &put).await?;
     let renewed = call(&kv, "/v3/lease/keepalive", &json!({"ID": lease["ID"]})).await?;
     assert_eq!(renewed["result"]["TTL"], "1");
-    eventually("the key is gone", async || {
-        let answer = read(&kv, "a").await.ok()?;
-        answer["kvs"].is_null().then_some(())
+    eventually("the key is deleted", async || {
+        let response = read(&kv, "a").await.ok()?;
+        response["kvs"].is_null().then_some(())
     })
     .await?;
     let renewed = call(&kv, "/v3/lease/keepalive", &json!({"ID": lease["ID"]})).await?;
@@ -115,22 +116,22 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_has_taken_effect() -> Result<()> {
+async fn lost_responses_take_effect_and_lost_requests_do_not() -> Result<()> {
     let kv = start().await?;
     let control = kv.control.to_string();
     switch(&control, &json!({"lose_answers": 1})).await?;
-    let answer = call(&kv, "/v3/kv/txn", &create("a", "1")).await;
-    assert!(answer.is_err());
+    let response = call(&kv, "/v3/kv/txn", &create("a", "1")).await;
+    assert!(response.is_err());
     assert_eq!(read(&kv, "a").await?["count"], "1");
     switch(&control, &json!({"lose_requests": 1})).await?;
-    let answer = call(&kv, "/v3/kv/txn", &create("b", "1")).await;
-    assert!(answer.is_err());
+    let response = call(&kv, "/v3/kv/txn", &create("b", "1")).await;
+    assert!(response.is_err());
     assert_eq!(read(&kv, "b").await?["count"], Value::Null);
     Ok(())
 }
 
 #[tokio::test]
-async fn a_watch_reports_history_and_news() -> Result<()> {
+async fn a_watch_reports_past_and_new_changes() -> Result<()> {
     let kv = start().await?;
     call(
         &kv,
@@ -147,14 +148,14 @@
     let history: Value = serde_json::from_str(&history)?;
     assert_eq!(history["result"]["events"][0]["kv"]["value"], b64("1"));
     call(&kv, "/v3/kv/deleterange", &json!({"key": b64("a")})).await?;
-    let news = watch.piece().await?.unwrap_or_default();
-    let news: Value = serde_json::from_str(&news)?;
-    assert_eq!(news["result"]["events"][0]["type"], "DELETE");
+    let update = watch.piece().await?.unwrap_or_default();
+    let update: Value = serde_json::from_str(&update)?;
+    assert_eq!(update["result"]["events"][0]["type"], "DELETE");
     Ok(())
 }
 
 #[tokio::test]
-async fn down_refuses_connections_and_comes_back() -> Result<()> {
+async fn refuses_connections_only_while_down() -> Result<()> {
     let kv = start().await?;
     let control = kv.control.to_string();
     switch(&control, &json!({"down": true})).await?;
@@ -163,6 +164,9 @@
     })
     .await?;
     switch(&control, &json!({"down": false})).await?;
-    eventually("it is back", async || read(&kv, "a").await.ok()).await?;
+    eventually("the service accepts connections again", async || {
+        read(&kv, "a").await.ok()
+    })
+    .await?;
     Ok(())
 }
--- a/testutils/tests/test_plain.rs
+++ b/testutils/tests/test_plain.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of a plain service and of the host list.
+//! Tests of the stand-ins for a plain service and for the host list.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-async fn ledger() -> Result<Addresses> {
+async fn start_ledger() -> Result<Addresses> {
     server::start(Arc::<Ledger>::default(), "127.0.0.1:0".parse()?).await
 }
 
@@ -24,7 +24,7 @@
         .header("x-request-id", "n-1")
 }
 
-async fn runs(ledger: &Addresses) -> Result<Value> {
+async fn counts(ledger: &Addresses) -> Result<Value> {
     Ok(control(&ledger.control.to_string()).await?["counts"].clone())
 }
 
@@ -33,35 +33,38 @@
 #[case("before", 0)]
 #[case("after", 1)]
 #[tokio::test]
-async fn records_what_ran(#[case] die: &str, #[case] ran: u64) -> Result<()> {
-    let ledger = ledger().await?;
+async fn counts_executed_requests(#[case] die: &str, #[case] executions: u64) -> Result<()> {
+    let ledger = start_ledger().await?;
     switch(&ledger.control.to_string(), &json!({"die": die})).await?;
-    let answer = pay(&ledger).text().await;
-    assert_eq!(answer.is_ok(), die == "none");
-    let runs = runs(&ledger).await?;
-    assert_eq!(runs["total"], ran);
-    assert_eq!(runs["by_key"]["k"].as_u64().unwrap_or(0), ran);
-    assert_eq!(runs["by_request"]["n-1"].as_u64().unwrap_or(0), ran);
+    let response = pay(&ledger).text().await;
+    assert_eq!(response.is_ok(), die == "none");
+    let counts = counts(&ledger).await?;
+    assert_eq!(counts["total"], executions);
+    assert_eq!(counts["by_key"]["k"].as_u64().unwrap_or(0), executions);
+    assert_eq!(
+        counts["by_request"]["n-1"].as_u64().unwrap_or(0),
+        executions
+    );
     Ok(())
 }
 
 #[tokio::test]
-async fn holds_answers_of_what_ran() -> Result<()> {
-    let ledger = ledger().await?;
+async fn holds_back_responses_of_executed_requests() -> Result<()> {
+    let ledger = start_ledger().await?;
     let control = ledger.control.to_string();
     switch(&control, &json!({"hold": true})).await?;
-    let answer = tokio::spawn(pay(&ledger).text());
-    eventually("it runs", async || {
-        (runs(&ledger).await.ok()?["running"] == 1).then_some(())
+    let response = tokio::spawn(pay(&ledger).text());
+    eventually("the ledger executes the payment", async || {
+        (counts(&ledger).await.ok()?["running"] == 1).then_some(())
     })
     .await?;
     switch(&control, &json!({"hold": false})).await?;
-    assert_eq!(answer.await??.json()["run"], 1);
+    assert_eq!(response.await??.json()["run"], 1);
     Ok(())
 }
 
 #[tokio::test]
-async fn the_host_list_lags() -> Result<()> {
+async fn host_list_changes_appear_after_the_lag() -> Result<()> {
     let hosts = server::start(Arc::<HostList>::default(), "127.0.0.1:0".parse()?).await?;
     let control = hosts.control.to_string();
     let address = hosts.address.to_string();
@@ -70,7 +73,7 @@
     assert_eq!(read().await?.json(), json!([{"targets": ["1"]}]));
     switch(&control, &json!({"groups": [], "lag_ms": 200})).await?;
     assert_eq!(read().await?.json(), json!([{"targets": ["1"]}]));
-    eventually("the change shows", async || {
+    eventually("the change is published", async || {
         (read().await.ok()?.json() == json!([])).then_some(())
     })
     .await?;
--- a/testutils/tests/test_samples.rs
+++ b/testutils/tests/test_samples.rs
@@ -1,4 +1,4 @@
-//! The sample texts are valid.
+//! Tests that the sample configurations are valid.
 
 use dottereltally_lib::text::wire;
 use dottereltally_testutils::deployment;
@@ -9,7 +9,7 @@
 #[case(include_str!("../../examples/bulu-mata.yaml"), 5)]
 #[case(include_str!("../../examples/demo.yaml"), 1)]
 fn samples_are_valid(#[case] document: &str, #[case] workspaces: usize) {
-    let text = wire::parse(document).expect("a valid text");
+    let text = wire::parse(document).expect("a valid configuration");
     assert_eq!(text.workspaces.len(), workspaces);
     for name in text.workspaces.keys() {
         let key = deployment::hash(&format!("{name}-key"));
