--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -6,13 +6,13 @@
 
 use crate::{
     affinity,
+    backlog::{Backlog, Lane, MAX_WAITING},
     balance::Policy,
     effect::Effect,
     fleet::{self, Slot},
     flight::{Flight, Waiting},
     id,
     placement::Place,
-    pool::{Backlog, Lane, MAX_WAITING},
     quarantine::Verdict,
     refusal::{Reason, Refusal},
     request::Profile,
@@ -58,10 +58,10 @@
     /// admitted.
     pub(crate) fn withdraw(&mut self, now: time::Instant, request: id::Request) {
         if let Some(flight) = self.remove_flight(request) {
-            return self.pump(now, &flight.waiting.profile.service);
+            return self.admit_waiting(now, &flight.waiting.profile.service);
         }
-        if let Some(waiting) = self.forget(now, request) {
-            self.pump(now, &waiting.profile.service);
+        if let Some(waiting) = self.remove_waiting(now, request) {
+            self.admit_waiting(now, &waiting.profile.service);
         }
     }
 
@@ -146,17 +146,17 @@
         lane.record_arrival(now, profile.tier, waiting.work);
         lane.queue.push(profile.tier, waiting.item(request));
         self.waiting.insert(request, waiting);
-        self.pump(now, &profile.service);
+        self.admit_waiting(now, &profile.service);
         self.enforce_max_waiting(now, &profile.service);
         if self.draining && self.waiting.contains_key(&request) {
-            self.forget(now, request);
+            self.remove_waiting(now, request);
             self.refuse(request, Reason::Shutdown, MIN_RETRY);
         }
     }
 
     /// Admits waiting requests of a service while its endpoints have room.
-    pub(crate) fn pump(&mut self, now: time::Instant, service: &id::Service) {
-        self.pump_suspects(now, service);
+    pub(crate) fn admit_waiting(&mut self, now: time::Instant, service: &id::Service) {
+        self.admit_suspect(now, service);
         let mut blocked = Vec::new();
         loop {
             let Some(backlog) = self.backlogs.get(service) else {
@@ -169,7 +169,7 @@
                 Place::At(slot) => self.admit(now, request, slot),
                 Place::Full => blocked.push(model),
                 Place::Nowhere => {
-                    self.forget(now, request);
+                    self.remove_waiting(now, request);
                     self.refuse(request, Reason::NoEndpoint, MIN_RETRY);
                 }
             }
@@ -273,7 +273,7 @@
             }
         }
         for request in overdue {
-            let Some(waiting) = self.forget(now, request) else {
+            let Some(waiting) = self.remove_waiting(now, request) else {
                 continue;
             };
             self.shed_below(now, service, waiting.profile.tier);
@@ -298,7 +298,11 @@
     }
 
     /// Removes a waiting request from its queue, without admitting it.
-    pub(crate) fn forget(&mut self, now: time::Instant, request: id::Request) -> Option<Waiting> {
+    pub(crate) fn remove_waiting(
+        &mut self,
+        now: time::Instant,
+        request: id::Request,
+    ) -> Option<Waiting> {
         let waiting = self.waiting.remove(&request)?;
         let lane = self.lane(&waiting.profile);
         let waited = !lane.queue.is_empty();
@@ -353,7 +357,7 @@
 
     /// Refuses a waiting request of the lowest waiting tier for overload.
     fn evict(&mut self, now: time::Instant, request: id::Request) {
-        let Some(waiting) = self.forget(now, request) else {
+        let Some(waiting) = self.remove_waiting(now, request) else {
             return;
         };
         let profile = &waiting.profile;
--- a/lib/src/health.rs
+++ b/lib/src/health.rs
@@ -39,7 +39,7 @@
             }
         }
         self.text = Some(text);
-        self.pump_all(now);
+        self.admit_all_waiting(now);
     }
 
     /// Replaces the table of endpoints by a new host list.
@@ -54,7 +54,7 @@
         for slot in freed {
             self.prefixes.remove_endpoint(slot);
         }
-        self.pump_all(now);
+        self.admit_all_waiting(now);
     }
 
     /// Replaces the list of live nodes.
@@ -87,7 +87,7 @@
         }
         member.load = Some(load);
         let service = member.record.service.clone();
-        self.pump(now, &service);
+        self.admit_waiting(now, &service);
     }
 
     /// Records a change of an endpoint's prefix cache.
@@ -165,7 +165,7 @@
             Outcome::Broken | Outcome::Stalled => self.record_break(now, &flight),
         }
         let service = &flight.waiting.profile.service;
-        self.pump(now, service);
+        self.admit_waiting(now, service);
     }
 
     /// Records the result of a probe on a new connection.
@@ -187,7 +187,7 @@
         if died {
             self.died(now, slot);
         }
-        self.pump(now, &service);
+        self.admit_waiting(now, &service);
     }
 
     /// Expires marks, sends due probes, refuses overdue requests and admits
@@ -200,7 +200,7 @@
         let services: Vec<id::Service> = self.backlogs.keys().cloned().collect();
         for service in services {
             self.expire(now, &service);
-            self.pump(now, &service);
+            self.admit_waiting(now, &service);
         }
     }
 
@@ -320,10 +320,10 @@
         }
     }
 
-    fn pump_all(&mut self, now: time::Instant) {
+    fn admit_all_waiting(&mut self, now: time::Instant) {
         let services: Vec<id::Service> = self.backlogs.keys().cloned().collect();
         for service in services {
-            self.pump(now, &service);
+            self.admit_waiting(now, &service);
         }
     }
 }
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -6,6 +6,7 @@
 
 mod admission;
 pub mod affinity;
+pub mod backlog;
 pub mod balance;
 pub mod budget;
 pub mod crash;
@@ -27,7 +28,6 @@
 pub mod membership;
 mod placement;
 pub mod plan;
-pub mod pool;
 pub mod prefix;
 pub mod quarantine;
 pub mod queue;
--- a/lib/src/scheduler.rs
+++ b/lib/src/scheduler.rs
@@ -6,6 +6,7 @@
 
 use crate::{
     affinity,
+    backlog::Backlog,
     balance::{Context, Policy},
     effect::Effect,
     event::Event,
@@ -13,7 +14,6 @@
     flight::{Flight, Waiting},
     id,
     isolation::Isolation,
-    pool::Backlog,
     quarantine::Marks,
     text, time,
 };
--- a/lib/src/suspects.rs
+++ b/lib/src/suspects.rs
@@ -43,12 +43,12 @@
             return self.refuse(request, Reason::Quarantine, SUSPECT_RETRY_AFTER);
         }
         self.waiting.insert(request, waiting);
-        self.pump(now, &service);
+        self.admit_waiting(now, &service);
     }
 
     /// Admits the longest-waiting suspect once the endpoint reserved for it is
     /// empty.
-    pub(crate) fn pump_suspects(&mut self, now: time::Instant, service: &id::Service) {
+    pub(crate) fn admit_suspect(&mut self, now: time::Instant, service: &id::Service) {
         self.refuse_stranded(now, service);
         let Some(line) = self.isolation.lines.get(service) else {
             return;
@@ -128,7 +128,7 @@
             }
         }
         for request in stranded {
-            self.forget(now, request);
+            self.remove_waiting(now, request);
             self.refuse(request, Reason::NoEndpoint, MIN_RETRY);
         }
     }
@@ -148,7 +148,7 @@
             }
         }
         for request in confirmed {
-            self.forget(now, request);
+            self.remove_waiting(now, request);
             self.refuse(request, Reason::Quarantine, MAX_RETRY);
         }
     }
