--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -21,10 +21,10 @@
 };
 
 /// Shortest retry delay that a refusal names.
-pub(crate) const MIN_RETRY: Duration = Duration::from_secs(1);
+pub(crate) const MIN_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Longest retry delay that a refusal names, before jitter.
-pub(crate) const MAX_RETRY: Duration = Duration::from_mins(1);
+pub(crate) const MAX_RETRY_DELAY: Duration = Duration::from_mins(1);
 
 /// Multiple of the time left that the estimated wait must exceed before a
 /// request is refused while requests of lower tiers wait. Those can be evicted
@@ -45,10 +45,10 @@
         let known = self.waiting.contains_key(&request) || self.flights.contains_key(&request);
         assert!(!known, "request {request} arrived twice");
         let Some(waiting) = self.classify(profile) else {
-            return self.refuse(request, Reason::NoEndpoint, MIN_RETRY);
+            return self.refuse(request, Reason::NoEndpoint, MIN_RETRY_DELAY);
         };
         match self.marks.verdict(now, waiting.profile.fingerprint) {
-            Verdict::Confirmed => self.refuse(request, Reason::Quarantine, MAX_RETRY),
+            Verdict::Confirmed => self.refuse(request, Reason::Quarantine, MAX_RETRY_DELAY),
             Verdict::Suspect => self.isolate(now, request, waiting),
             Verdict::Clear => self.enqueue(now, request, waiting),
         }
@@ -88,7 +88,7 @@
         if !self.has_usable(&profile) {
             return None;
         }
-        let cached_blocks = self.prefixes.held(&profile.prefixes);
+        let cached_blocks = self.prefixes.cached_blocks_by_slot(&profile.prefixes);
         let lane = self.lane(&profile);
         let expected_output = lane.expected_output(profile.output.0);
         let most_blocks = cached_blocks.values().max().copied().unwrap_or(0);
@@ -125,7 +125,7 @@
         let wait = lane.estimated_wait(profile.tier, &profile.workspace, waiting.share);
         let round_robin = self.settings.policy == Policy::RoundRobin;
         if waiting.admit_by <= now && !round_robin {
-            return self.refuse(request, Reason::Deadline, MIN_RETRY);
+            return self.refuse(request, Reason::Deadline, MIN_RETRY_DELAY);
         }
         let slack = waiting.admit_by.since(now);
         let lowest = self
@@ -150,7 +150,7 @@
         self.enforce_max_waiting(now, &profile.service);
         if self.draining && self.waiting.contains_key(&request) {
             self.remove_waiting(now, request);
-            self.refuse(request, Reason::Shutdown, MIN_RETRY);
+            self.refuse(request, Reason::Shutdown, MIN_RETRY_DELAY);
         }
     }
 
@@ -170,7 +170,7 @@
                 Place::Full => blocked.push(model),
                 Place::Nowhere => {
                     self.remove_waiting(now, request);
-                    self.refuse(request, Reason::NoEndpoint, MIN_RETRY);
+                    self.refuse(request, Reason::NoEndpoint, MIN_RETRY_DELAY);
                 }
             }
         }
@@ -242,7 +242,9 @@
     /// Refuses a request that no queue holds.
     pub(crate) fn refuse(&mut self, request: id::Request, reason: Reason, after: Duration) {
         let spread = self.rng.random_range(1.0..1.0 + RETRY_JITTER);
-        let retry_after = after.clamp(MIN_RETRY, MAX_RETRY).mul_f64(spread);
+        let retry_after = after
+            .clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY)
+            .mul_f64(spread);
         let refusal = Refusal {
             reason,
             retry_after,
@@ -375,6 +377,6 @@
         let profile = &waiting.profile;
         let lane = self.lane(profile);
         let wait = lane.estimated_wait(profile.tier, &profile.workspace, waiting.share);
-        wait.unwrap_or(MIN_RETRY)
+        wait.unwrap_or(MIN_RETRY_DELAY)
     }
 }
--- a/lib/src/affinity.rs
+++ b/lib/src/affinity.rs
@@ -79,12 +79,12 @@
     /// Returns the number of leading blocks that each endpoint caches, for the
     /// endpoints that cache any.
     #[must_use]
-    pub fn held(&self, prefixes: &[id::Prefix]) -> BTreeMap<Slot, u64> {
-        let mut held = BTreeMap::new();
+    pub fn cached_blocks_by_slot(&self, prefixes: &[id::Prefix]) -> BTreeMap<Slot, u64> {
+        let mut blocks_by_slot = BTreeMap::new();
         for (index, prefix) in (0_u64..).zip(prefixes) {
             let mut any = false;
             for (_, slot) in self.holders.range((*prefix, 0)..=(*prefix, Slot::MAX)) {
-                let blocks = held.entry(*slot).or_insert(0);
+                let blocks = blocks_by_slot.entry(*slot).or_insert(0);
                 if *blocks == index {
                     *blocks = index + 1;
                     any = true;
@@ -94,8 +94,8 @@
                 break;
             }
         }
-        held.retain(|_, blocks| *blocks > 0);
-        held
+        blocks_by_slot.retain(|_, blocks| *blocks > 0);
+        blocks_by_slot
     }
 
     /// Returns the number of leading blocks that an endpoint caches.
--- a/lib/src/balance.rs
+++ b/lib/src/balance.rs
@@ -66,7 +66,7 @@
     /// Tokens in use by the request's tier and those above it.
     pub used_by_tiers: u64,
     /// Leading blocks of the prompt that its prefix cache is known to hold.
-    pub blocks: u64,
+    pub cached_blocks: u64,
     /// Hash of its name.
     pub name_hash: u64,
     /// Tokens per second of one stream, if known and recent.
@@ -155,7 +155,7 @@
             node_share,
             local: member.record.data_centre == *self.data_centre,
             used_by_tiers,
-            blocks: 0,
+            cached_blocks: 0,
             name_hash: member.name_hash,
             speed,
         }
@@ -208,9 +208,11 @@
 /// those within the load bound; of equals, the least loaded.
 fn most_cached_within_bound(pool: &[Candidate]) -> Option<Candidate> {
     let bound = affinity_load_bound(pool);
-    let eligible = |each: &&Candidate| each.blocks > 0 && each.load() <= bound;
+    let eligible = |each: &&Candidate| each.cached_blocks > 0 && each.load() <= bound;
     let by_cached_blocks = |a: &&Candidate, b: &&Candidate| {
-        a.blocks.cmp(&b.blocks).then(b.load().total_cmp(&a.load()))
+        a.cached_blocks
+            .cmp(&b.cached_blocks)
+            .then(b.load().total_cmp(&a.load()))
     };
     pool.iter()
         .filter(eligible)
--- a/lib/src/health.rs
+++ b/lib/src/health.rs
@@ -11,7 +11,7 @@
     id,
     scheduler::Scheduler,
     size, text, time,
-    window::FIRST_TOKEN,
+    window::FIRST_TOKEN_TARGET,
 };
 
 /// Time between two probes of a dead endpoint.
@@ -213,8 +213,8 @@
             let Some(member) = self.fleet.get_mut(flight.slot) else {
                 continue;
             };
-            let expected = member.window.prefill(flight.uncached);
-            if now.since(flight.admitted) > expected + FIRST_TOKEN {
+            let expected = member.window.prefill_time(flight.uncached);
+            if now.since(flight.admitted) > expected + FIRST_TOKEN_TARGET {
                 member.window.record_queueing(now);
             }
         }
--- a/lib/src/placement.rs
+++ b/lib/src/placement.rs
@@ -8,7 +8,7 @@
     request::Profile,
     scheduler::Scheduler,
     time,
-    window::FIRST_TOKEN,
+    window::FIRST_TOKEN_TARGET,
 };
 
 /// Choice of an endpoint for a waiting request.
@@ -46,13 +46,13 @@
             return place;
         }
         let prefixes = &waiting.profile.prefixes;
-        let held = self.prefixes.held(prefixes);
+        let cached_blocks = self.prefixes.cached_blocks_by_slot(prefixes);
         for candidate in &mut fitting {
-            candidate.blocks = held.get(&candidate.slot).copied().unwrap_or(0);
+            candidate.cached_blocks = cached_blocks.get(&candidate.slot).copied().unwrap_or(0);
         }
-        let terms = self.settings.terms(now, self.members.len());
+        let context = self.settings.context(now, self.members.len());
         let first = prefixes.first().copied();
-        let chosen = terms.choose(&mut self.rng, &mut self.turn, &fitting, first);
+        let chosen = context.choose(&mut self.rng, &mut self.round_robin_turn, &fitting, first);
         self.record_limiting_windows(&full);
         chosen.map_or(Place::Full, |candidate| Place::At(candidate.slot))
     }
@@ -61,7 +61,7 @@
     /// whether or not their windows have room.
     pub(crate) fn candidates(&self, now: time::Instant, waiting: &Waiting) -> Vec<Candidate> {
         let profile = &waiting.profile;
-        let terms = self.settings.terms(now, self.members.len());
+        let context = self.settings.context(now, self.members.len());
         let mut candidates = Vec::new();
         for &slot in self.fleet.of_service(&profile.service) {
             let Some(member) = self.fleet.get(slot) else {
@@ -73,11 +73,11 @@
             if waiting.avoided.contains(&member.record.id) {
                 continue;
             }
-            let windowless = terms.policy == Policy::RoundRobin;
-            if !windowless && member.window.prefill(member.pending) > FIRST_TOKEN {
+            let windowless = context.policy == Policy::RoundRobin;
+            if !windowless && member.window.prefill_time(member.pending) > FIRST_TOKEN_TARGET {
                 continue;
             }
-            candidates.push(terms.candidate(profile.tier, slot, member));
+            candidates.push(context.candidate(profile.tier, slot, member));
         }
         candidates
     }
@@ -102,7 +102,7 @@
     fn record_limiting_windows(&mut self, full: &[Candidate]) {
         for candidate in full {
             if let Some(member) = self.fleet.get_mut(candidate.slot) {
-                member.window.limited();
+                member.window.record_limited();
             }
         }
     }
--- a/lib/src/scheduler.rs
+++ b/lib/src/scheduler.rs
@@ -33,7 +33,7 @@
 
 impl Settings {
     /// Returns the inputs of a choice other than the endpoints.
-    pub(crate) fn terms(&self, now: time::Instant, nodes: usize) -> Context<'_> {
+    pub(crate) fn context(&self, now: time::Instant, nodes: usize) -> Context<'_> {
         Context {
             now,
             policy: self.policy,
@@ -58,7 +58,7 @@
     pub(crate) deaths: BTreeMap<Slot, time::Instant>,
     pub(crate) members: Vec<(id::Node, id::DataCentre)>,
     pub(crate) rng: SmallRng,
-    pub(crate) turn: u64,
+    pub(crate) round_robin_turn: u64,
     pub(crate) draining: bool,
     pub(crate) effects: Vec<Effect>,
 }
@@ -81,7 +81,7 @@
             deaths: BTreeMap::new(),
             members: Vec::new(),
             rng,
-            turn: 0,
+            round_robin_turn: 0,
             draining: false,
             effects: Vec::new(),
         }
--- a/lib/src/suspects.rs
+++ b/lib/src/suspects.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::{
-    admission::{MAX_RETRY, MIN_RETRY},
+    admission::{MAX_RETRY_DELAY, MIN_RETRY_DELAY},
     effect::Effect,
     fleet::{Health, Member, Slot},
     flight::Waiting,
@@ -129,7 +129,7 @@
         }
         for request in stranded {
             self.remove_waiting(now, request);
-            self.refuse(request, Reason::NoEndpoint, MIN_RETRY);
+            self.refuse(request, Reason::NoEndpoint, MIN_RETRY_DELAY);
         }
     }
 
@@ -149,7 +149,7 @@
         }
         for request in confirmed {
             self.remove_waiting(now, request);
-            self.refuse(request, Reason::Quarantine, MAX_RETRY);
+            self.refuse(request, Reason::Quarantine, MAX_RETRY_DELAY);
         }
     }
 
--- a/lib/src/window.rs
+++ b/lib/src/window.rs
@@ -12,7 +12,7 @@
 use crate::{estimate::Average, time};
 
 /// Target for the time to the first token.
-pub const FIRST_TOKEN: Duration = Duration::from_millis(660);
+pub const FIRST_TOKEN_TARGET: Duration = Duration::from_millis(660);
 
 /// Shortest time between two adjustments of a window.
 const ADJUST_PERIOD: Duration = Duration::from_millis(500);
@@ -21,7 +21,7 @@
 /// chosen, so that a slow endpoint gets work again and its recovery is noticed.
 const SPEED_TTL: Duration = Duration::from_secs(10);
 
-/// Fraction of [`FIRST_TOKEN`] that queueing inside the endpoint may take.
+/// Fraction of [`FIRST_TOKEN_TARGET`] that queueing inside the endpoint may take.
 const MAX_QUEUEING_FRACTION: f64 = 0.5;
 
 /// Fraction of the best speed below which the window decreases.
@@ -151,7 +151,7 @@
     }
 
     /// Records that a request had to wait because the window was full.
-    pub fn limited(&mut self) {
+    pub fn record_limited(&mut self) {
         self.limited = true;
     }
 
@@ -165,7 +165,7 @@
         let best = best.min(per_token);
         self.best_secs_per_token = Some(best);
         let queued = took - best * uncached;
-        self.congested |= queued > FIRST_TOKEN.as_secs_f64() * MAX_QUEUEING_FRACTION;
+        self.congested |= queued > FIRST_TOKEN_TARGET.as_secs_f64() * MAX_QUEUEING_FRACTION;
         self.adjust(now);
     }
 
@@ -187,7 +187,7 @@
     /// Returns the time that the endpoint needs for this many prompt tokens
     /// without queueing; zero if unknown.
     #[must_use]
-    pub fn prefill(&self, tokens: u64) -> Duration {
+    pub fn prefill_time(&self, tokens: u64) -> Duration {
         #[expect(clippy::cast_precision_loss, reason = "an estimate")]
         let seconds = self.best_secs_per_token.unwrap_or(0.0) * tokens as f64;
         Duration::from_secs_f64(seconds.clamp(0.0, 3600.0))
--- a/lib/tests/test_affinity.rs
+++ b/lib/tests/test_affinity.rs
@@ -47,7 +47,7 @@
             let again = Cache { sequence: *sequence, change: Change::Stored(Prefix(99)) };
             index.apply(slot, &again);
             let wanted: Vec<Prefix> = (0..12).map(Prefix).collect();
-            let held = index.held(&wanted);
+            let held = index.cached_blocks_by_slot(&wanted);
             for (slot, set) in &sets {
                 let blocks = wanted.iter().take_while(|prefix| set.contains(prefix)).count();
                 prop_assert_eq!(held.get(slot).copied().unwrap_or(0), blocks as u64);
