--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -184,18 +184,18 @@
         let blocks = self.prefixes.cached_blocks(slot, &waiting.profile.prefixes);
         let cached = size::Tokens(blocks * affinity::BLOCK_TOKENS);
         let uncached = waiting.profile.prompt.saturating_sub(cached).0;
-        let Some(member) = self.fleet.get_mut(slot) else {
+        let Some(endpoint) = self.fleet.get_mut(slot) else {
             return;
         };
         let cost = waiting.cost;
-        member.own_tokens += cost;
-        member.own_tokens_by_tier[fleet::tier_index(waiting.profile.tier)] += cost;
-        member.window.record_in_flight(member.own_tokens);
-        member.pending += uncached;
-        member.requests += 1;
+        endpoint.own_tokens += cost;
+        endpoint.own_tokens_by_tier[fleet::tier_index(waiting.profile.tier)] += cost;
+        endpoint.window.record_in_flight(endpoint.own_tokens);
+        endpoint.pending_prompt_tokens += uncached;
+        endpoint.own_requests += 1;
         self.prefixes
             .record_dispatch(slot, &waiting.profile.prefixes);
-        let name = member.record.id.clone();
+        let name = endpoint.record.id.clone();
         let flight = Flight {
             waiting,
             slot,
@@ -215,23 +215,23 @@
     pub(crate) fn remove_flight(&mut self, request: id::Request) -> Option<Flight> {
         let flight = self.flights.remove(&request)?;
         let slot = flight.slot;
-        let member = self.fleet.get_mut(slot)?;
+        let endpoint = self.fleet.get_mut(slot)?;
         assert!(
-            member.own_tokens >= flight.cost,
+            endpoint.own_tokens >= flight.cost,
             "request {request} holds more tokens than are in flight at its endpoint"
         );
         assert!(
-            member.requests > 0,
+            endpoint.own_requests > 0,
             "request {request} ends at an endpoint without requests in flight"
         );
-        member.own_tokens -= flight.cost;
-        member.own_tokens_by_tier[fleet::tier_index(flight.waiting.profile.tier)] -= flight.cost;
+        endpoint.own_tokens -= flight.cost;
+        endpoint.own_tokens_by_tier[fleet::tier_index(flight.waiting.profile.tier)] -= flight.cost;
         if flight.started.is_none() {
-            member.pending -= flight.uncached;
+            endpoint.pending_prompt_tokens -= flight.uncached;
         }
-        member.requests -= 1;
-        if member.reserved == Some(request) {
-            member.reserved = None;
+        endpoint.own_requests -= 1;
+        if endpoint.reserved == Some(request) {
+            endpoint.reserved = None;
         }
         if self.fleet.release(slot) {
             self.prefixes.remove_endpoint(slot);
@@ -312,8 +312,8 @@
         lane.queue.remove(request);
         let service = &waiting.profile.service;
         let reserved = self.isolation.remove(service, request);
-        if let Some(member) = reserved.and_then(|slot| self.fleet.get_mut(slot)) {
-            member.reserved = None;
+        if let Some(endpoint) = reserved.and_then(|slot| self.fleet.get_mut(slot)) {
+            endpoint.reserved = None;
         }
         Some(waiting)
     }
--- a/lib/src/balance.rs
+++ b/lib/src/balance.rs
@@ -123,29 +123,29 @@
         &self,
         tier: id::Tier,
         slot: fleet::Slot,
-        member: &fleet::Member,
+        endpoint: &fleet::Endpoint,
     ) -> Candidate {
-        let window = member.window.limit();
-        let configured = member.window.configured();
+        let window = endpoint.window.limit();
+        let configured = endpoint.window.configured();
         let speed = match self.policy {
             Policy::RoundRobin => None,
-            _ => member.window.speed(self.now),
+            _ => endpoint.window.speed(self.now),
         };
         let node_share = (configured / self.nodes).max(1);
         let used_by_tiers = match self.policy {
             Policy::RoundRobin => 0,
-            Policy::LeastLoad => member.reported_tokens(),
-            Policy::TwoChoices | Policy::Shares => member.own_tokens_at_or_above(tier),
+            Policy::LeastLoad => endpoint.reported_tokens(),
+            Policy::TwoChoices | Policy::Shares => endpoint.own_tokens_at_or_above(tier),
         };
         let other_tokens = match self.policy {
-            Policy::TwoChoices => member.other_tokens,
+            Policy::TwoChoices => endpoint.other_tokens,
             Policy::RoundRobin | Policy::LeastLoad | Policy::Shares => 0,
         };
         let (used, limit) = match self.policy {
             Policy::RoundRobin => (0, u64::MAX),
-            Policy::LeastLoad => (member.reported_tokens(), configured),
-            Policy::TwoChoices => (member.own_tokens, window),
-            Policy::Shares => (member.own_tokens, node_share),
+            Policy::LeastLoad => (endpoint.reported_tokens(), configured),
+            Policy::TwoChoices => (endpoint.own_tokens, window),
+            Policy::Shares => (endpoint.own_tokens, node_share),
         };
         Candidate {
             slot,
@@ -153,10 +153,10 @@
             other_tokens,
             limit,
             node_share,
-            local: member.record.data_centre == *self.data_centre,
+            local: endpoint.record.data_centre == *self.data_centre,
             used_by_tiers,
             cached_blocks: 0,
-            name_hash: member.name_hash,
+            name_hash: endpoint.name_hash,
             speed,
         }
     }
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
     /// It answers.
-    Sound,
+    Healthy,
     /// A probe was sent at this time and has no result yet.
     Probing(time::Instant),
     /// It did not answer a probe; the next probe is due at this time.
@@ -43,7 +43,7 @@
 
 /// One endpoint and what this node knows of it.
 #[derive(Clone, Debug)]
-pub struct Member {
+pub struct Endpoint {
     /// Its entry in the host list.
     pub record: Record,
     /// Hash of its name.
@@ -58,9 +58,9 @@
     pub own_tokens_by_tier: [u64; MAX_TIERS],
     /// Uncached prompt tokens of this node's requests there that have no first
     /// token yet.
-    pub pending: u64,
+    pub pending_prompt_tokens: u64,
     /// Requests that this node has in flight there.
-    pub requests: u32,
+    pub own_requests: u32,
     /// Tokens that other nodes have in flight there, by its last load report.
     pub other_tokens: u64,
     /// Limit of the tokens that this node may have in flight there.
@@ -73,10 +73,10 @@
     pub reserved: Option<id::Request>,
     /// Fingerprints of the requests whose connection broke, until a probe tells
     /// whether the endpoint is dead.
-    pub broken: BTreeSet<id::Fingerprint>,
+    pub broken_fingerprints: BTreeSet<id::Fingerprint>,
 }
 
-impl Member {
+impl Endpoint {
     fn new(record: Record, window: u64) -> Self {
         Self {
             name_hash: xxh3::xxh3_64(record.id.as_str().as_bytes()),
@@ -85,14 +85,14 @@
             load: None,
             own_tokens: 0,
             own_tokens_by_tier: [0; MAX_TIERS],
-            pending: 0,
-            requests: 0,
+            pending_prompt_tokens: 0,
+            own_requests: 0,
             other_tokens: 0,
             window: Window::new(window),
-            health: Health::Sound,
+            health: Health::Healthy,
             avoided_until: time::Instant::default(),
             reserved: None,
-            broken: BTreeSet::new(),
+            broken_fingerprints: BTreeSet::new(),
         }
     }
 
@@ -116,7 +116,7 @@
     /// Returns whether it is healthy and neither avoided nor reserved.
     #[must_use]
     pub fn is_open(&self, now: time::Instant) -> bool {
-        self.health == Health::Sound && self.avoided_until <= now && self.reserved.is_none()
+        self.health == Health::Healthy && self.avoided_until <= now && self.reserved.is_none()
     }
 
     /// Returns whether the model is loaded; true if the endpoint doesn't report
@@ -146,7 +146,7 @@
 /// All endpoints, by slot, name and service.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    members: Vec<Option<Member>>,
+    endpoints: Vec<Option<Endpoint>>,
     free_slots: Vec<Slot>,
     slots_by_name: BTreeMap<id::Endpoint, Slot>,
     slots_by_service: BTreeMap<id::Service, Vec<Slot>>,
@@ -166,19 +166,19 @@
         for record in records {
             let Some(&slot) = self.slots_by_name.get(&record.id) else {
                 let tokens = window(&record.service);
-                self.insert(Member::new(record, tokens));
+                self.insert(Endpoint::new(record, tokens));
                 continue;
             };
             unlisted.remove(&slot);
-            let Some(member) = self.get_mut(slot) else {
+            let Some(endpoint) = self.get_mut(slot) else {
                 continue;
             };
-            member.listed = true;
-            if member.record.address != record.address {
-                member.health = Health::Sound;
-                member.load = None;
+            endpoint.listed = true;
+            if endpoint.record.address != record.address {
+                endpoint.health = Health::Healthy;
+                endpoint.load = None;
             }
-            member.record = record;
+            endpoint.record = record;
         }
         let mut freed = Vec::new();
         for slot in unlisted {
@@ -192,13 +192,13 @@
 
     /// Returns the endpoint in this slot.
     #[must_use]
-    pub fn get(&self, slot: Slot) -> Option<&Member> {
-        self.members.get(slot)?.as_ref()
+    pub fn get(&self, slot: Slot) -> Option<&Endpoint> {
+        self.endpoints.get(slot)?.as_ref()
     }
 
     /// Returns a mutable reference to the endpoint in this slot.
-    pub fn get_mut(&mut self, slot: Slot) -> Option<&mut Member> {
-        self.members.get_mut(slot)?.as_mut()
+    pub fn get_mut(&mut self, slot: Slot) -> Option<&mut Endpoint> {
+        self.endpoints.get_mut(slot)?.as_mut()
     }
 
     /// Returns the slot of a named endpoint.
@@ -224,32 +224,32 @@
     /// Frees the slot of an endpoint that is neither listed nor serves a
     /// request; returns whether it was freed.
     pub fn release(&mut self, slot: Slot) -> bool {
-        let is_unused = |member: &Member| !member.listed && member.requests == 0;
+        let is_unused = |endpoint: &Endpoint| !endpoint.listed && endpoint.own_requests == 0;
         if !self.get(slot).is_some_and(is_unused) {
             return false;
         }
-        if let Some(member) = self.members[slot].take() {
-            self.slots_by_name.remove(&member.record.id);
+        if let Some(endpoint) = self.endpoints[slot].take() {
+            self.slots_by_name.remove(&endpoint.record.id);
             self.free_slots.push(slot);
         }
         self.rebuild_service_index();
         true
     }
 
-    fn insert(&mut self, member: Member) {
-        let name = member.record.id.clone();
-        let slot = self.free_slots.pop().unwrap_or(self.members.len());
-        if slot == self.members.len() {
-            self.members.push(None);
+    fn insert(&mut self, endpoint: Endpoint) {
+        let name = endpoint.record.id.clone();
+        let slot = self.free_slots.pop().unwrap_or(self.endpoints.len());
+        if slot == self.endpoints.len() {
+            self.endpoints.push(None);
         }
-        self.members[slot] = Some(member);
+        self.endpoints[slot] = Some(endpoint);
         self.slots_by_name.insert(name, slot);
     }
 
     /// Marks an endpoint as no longer listed; returns whether its slot was freed.
     fn unlist(&mut self, slot: Slot) -> bool {
-        if let Some(member) = self.get_mut(slot) {
-            member.listed = false;
+        if let Some(endpoint) = self.get_mut(slot) {
+            endpoint.listed = false;
         }
         self.release(slot)
     }
@@ -258,10 +258,10 @@
     fn rebuild_service_index(&mut self) {
         self.slots_by_service.clear();
         for &slot in self.slots_by_name.values() {
-            let Some(member) = &self.members[slot] else {
+            let Some(endpoint) = &self.endpoints[slot] else {
                 continue;
             };
-            let service = member.record.service.clone();
+            let service = endpoint.record.service.clone();
             self.slots_by_service.entry(service).or_default().push(slot);
         }
     }
--- a/lib/src/health.rs
+++ b/lib/src/health.rs
@@ -31,11 +31,11 @@
     /// Applies the operators' configuration.
     pub(crate) fn configure(&mut self, now: time::Instant, text: Arc<text::Text>) {
         for slot in self.fleet.slots() {
-            let Some(member) = self.fleet.get_mut(slot) else {
+            let Some(endpoint) = self.fleet.get_mut(slot) else {
                 continue;
             };
-            if let Some(service) = text.services.get(&member.record.service) {
-                member.window.configure(service.window.0);
+            if let Some(service) = text.services.get(&endpoint.record.service) {
+                endpoint.window.configure(service.window.0);
             }
         }
         self.text = Some(text);
@@ -67,8 +67,8 @@
     fn share_windows(&mut self) {
         let nodes = u64::try_from(self.members.len()).unwrap_or(u64::MAX);
         for slot in self.fleet.slots() {
-            if let Some(member) = self.fleet.get_mut(slot) {
-                member.window.set_nodes(nodes);
+            if let Some(endpoint) = self.fleet.get_mut(slot) {
+                endpoint.window.set_nodes(nodes);
             }
         }
     }
@@ -78,15 +78,15 @@
         let Some(slot) = self.fleet.find(name) else {
             return;
         };
-        let Some(member) = self.fleet.get_mut(slot) else {
+        let Some(endpoint) = self.fleet.get_mut(slot) else {
             return;
         };
-        member.other_tokens = load.tokens.0.saturating_sub(member.own_tokens);
+        endpoint.other_tokens = load.tokens.0.saturating_sub(endpoint.own_tokens);
         if load.waiting > 0 {
-            member.window.record_queueing(now);
+            endpoint.window.record_queueing(now);
         }
-        member.load = Some(load);
-        let service = member.record.service.clone();
+        endpoint.load = Some(load);
+        let service = endpoint.record.service.clone();
         self.admit_waiting(now, &service);
     }
 
@@ -109,8 +109,8 @@
         let took = now.since(flight.admitted);
         flight.measured_since = now;
         let (slot, uncached) = (flight.slot, flight.uncached);
-        if let Some(member) = self.fleet.get_mut(slot) {
-            member.pending -= uncached;
+        if let Some(endpoint) = self.fleet.get_mut(slot) {
+            endpoint.pending_prompt_tokens -= uncached;
         }
         let profile = Arc::clone(&flight.waiting.profile);
         self.lane(&profile)
@@ -140,8 +140,8 @@
         let rate = flight.received_tokens as f64 / span.as_secs_f64();
         flight.measured_since = now;
         flight.received_tokens = 0;
-        if let Some(member) = self.fleet.get_mut(flight.slot) {
-            member.window.record_speed(now, rate);
+        if let Some(endpoint) = self.fleet.get_mut(flight.slot) {
+            endpoint.window.record_speed(now, rate);
         }
     }
 
@@ -173,17 +173,17 @@
         let Some(slot) = self.fleet.find(name) else {
             return;
         };
-        let Some(member) = self.fleet.get_mut(slot) else {
+        let Some(endpoint) = self.fleet.get_mut(slot) else {
             return;
         };
-        let died = !answered && matches!(member.health, Health::Probing(_));
+        let died = !answered && matches!(endpoint.health, Health::Probing(_));
         if answered {
-            member.broken.clear();
-            member.health = Health::Sound;
+            endpoint.broken_fingerprints.clear();
+            endpoint.health = Health::Healthy;
         } else {
-            member.health = Health::Dead(now + PROBE_PERIOD);
+            endpoint.health = Health::Dead(now + PROBE_PERIOD);
         }
-        let service = member.record.service.clone();
+        let service = endpoint.record.service.clone();
         if died {
             self.died(now, slot);
         }
@@ -210,12 +210,12 @@
             if flight.started.is_some() {
                 continue;
             }
-            let Some(member) = self.fleet.get_mut(flight.slot) else {
+            let Some(endpoint) = self.fleet.get_mut(flight.slot) else {
                 continue;
             };
-            let expected = member.window.prefill_time(flight.uncached);
+            let expected = endpoint.window.prefill_time(flight.uncached);
             if now.since(flight.admitted) > expected + FIRST_TOKEN_TARGET {
-                member.window.record_queueing(now);
+                endpoint.window.record_queueing(now);
             }
         }
     }
@@ -223,23 +223,23 @@
     /// Avoids an endpoint that could not be reached, has it probed and returns
     /// its name.
     pub(crate) fn avoid(&mut self, now: time::Instant, slot: Slot) -> Option<id::Endpoint> {
-        let member = self.fleet.get_mut(slot)?;
-        member.avoided_until = now + AVOID_PERIOD;
-        let name = member.record.id.clone();
+        let endpoint = self.fleet.get_mut(slot)?;
+        endpoint.avoided_until = now + AVOID_PERIOD;
+        let name = endpoint.record.id.clone();
         self.request_probe(now, slot);
         Some(name)
     }
 
     /// Has an endpoint probed, unless it is dead or a probe is pending.
     fn request_probe(&mut self, now: time::Instant, slot: Slot) {
-        let Some(member) = self.fleet.get_mut(slot) else {
+        let Some(endpoint) = self.fleet.get_mut(slot) else {
             return;
         };
-        if matches!(member.health, Health::Probing(_) | Health::Dead(_)) {
+        if matches!(endpoint.health, Health::Probing(_) | Health::Dead(_)) {
             return;
         }
-        member.health = Health::Probing(now);
-        let name = member.record.id.clone();
+        endpoint.health = Health::Probing(now);
+        let name = endpoint.record.id.clone();
         self.effects.push(Effect::Probe(name));
     }
 
@@ -250,9 +250,9 @@
         };
         let took = started.since(flight.admitted);
         let prompt = flight.waiting.profile.prompt;
-        if let Some(member) = self.fleet.get_mut(flight.slot) {
+        if let Some(endpoint) = self.fleet.get_mut(flight.slot) {
             let uncached = prompt.saturating_sub(cached);
-            member.window.record_first_token(now, took, uncached.0);
+            endpoint.window.record_first_token(now, took, uncached.0);
         }
     }
 
@@ -278,19 +278,19 @@
     /// Decreases the window of an endpoint that rejected a request and avoids it
     /// for a while.
     fn record_rejection(&mut self, now: time::Instant, slot: Slot) {
-        let Some(member) = self.fleet.get_mut(slot) else {
+        let Some(endpoint) = self.fleet.get_mut(slot) else {
             return;
         };
-        member.window.decrease();
-        member.avoided_until = now + AVOID_PERIOD;
+        endpoint.window.decrease();
+        endpoint.avoided_until = now + AVOID_PERIOD;
     }
 
     /// Marks a request whose connection broke or stalled and has its endpoint
     /// probed.
     fn record_break(&mut self, now: time::Instant, flight: &Flight) {
         let fingerprint = flight.waiting.profile.fingerprint;
-        if let Some(member) = self.fleet.get_mut(flight.slot) {
-            member.broken.insert(fingerprint);
+        if let Some(endpoint) = self.fleet.get_mut(flight.slot) {
+            endpoint.broken_fingerprints.insert(fingerprint);
         }
         let mark = self.marks.record_break(now, fingerprint);
         self.effects.push(Effect::Quarantine(mark));
@@ -300,22 +300,22 @@
     /// Probes dead endpoints and those whose pending probe timed out.
     fn probe_due_endpoints(&mut self, now: time::Instant) {
         for slot in self.fleet.slots() {
-            let Some(member) = self.fleet.get_mut(slot) else {
+            let Some(endpoint) = self.fleet.get_mut(slot) else {
                 continue;
             };
-            let due = match member.health {
-                Health::Sound => false,
+            let due = match endpoint.health {
+                Health::Healthy => false,
                 Health::Probing(since) => now.since(since) >= PROBE_TIMEOUT,
                 Health::Dead(next) => next <= now,
             };
             if !due {
                 continue;
             }
-            match &mut member.health {
+            match &mut endpoint.health {
                 Health::Dead(next) => *next = now + PROBE_PERIOD,
                 health => *health = Health::Probing(now),
             }
-            let name = member.record.id.clone();
+            let name = endpoint.record.id.clone();
             self.effects.push(Effect::Probe(name));
         }
     }
--- a/lib/src/placement.rs
+++ b/lib/src/placement.rs
@@ -64,20 +64,22 @@
         let context = self.settings.context(now, self.members.len());
         let mut candidates = Vec::new();
         for &slot in self.fleet.of_service(&profile.service) {
-            let Some(member) = self.fleet.get(slot) else {
+            let Some(endpoint) = self.fleet.get(slot) else {
                 continue;
             };
-            if !member.is_usable(profile.model.as_ref()) || !member.is_open(now) {
+            if !endpoint.is_usable(profile.model.as_ref()) || !endpoint.is_open(now) {
                 continue;
             }
-            if waiting.avoided.contains(&member.record.id) {
+            if waiting.avoided.contains(&endpoint.record.id) {
                 continue;
             }
             let windowless = context.policy == Policy::RoundRobin;
-            if !windowless && member.window.prefill_time(member.pending) > FIRST_TOKEN_TARGET {
+            if !windowless
+                && endpoint.window.prefill_time(endpoint.pending_prompt_tokens) > FIRST_TOKEN_TARGET
+            {
                 continue;
             }
-            candidates.push(context.candidate(profile.tier, slot, member));
+            candidates.push(context.candidate(profile.tier, slot, endpoint));
         }
         candidates
     }
@@ -86,11 +88,11 @@
     fn full_or_nowhere(&self, waiting: &Waiting) -> Place {
         let profile = &waiting.profile;
         for &slot in self.fleet.of_service(&profile.service) {
-            let Some(member) = self.fleet.get(slot) else {
+            let Some(endpoint) = self.fleet.get(slot) else {
                 continue;
             };
-            let usable = member.is_usable(profile.model.as_ref());
-            if usable && !waiting.avoided.contains(&member.record.id) {
+            let usable = endpoint.is_usable(profile.model.as_ref());
+            if usable && !waiting.avoided.contains(&endpoint.record.id) {
                 return Place::Full;
             }
         }
@@ -101,8 +103,8 @@
     /// waiting.
     fn record_limiting_windows(&mut self, full: &[Candidate]) {
         for candidate in full {
-            if let Some(member) = self.fleet.get_mut(candidate.slot) {
-                member.window.record_limited();
+            if let Some(endpoint) = self.fleet.get_mut(candidate.slot) {
+                endpoint.window.record_limited();
             }
         }
     }
@@ -110,9 +112,9 @@
     /// Returns whether any endpoint can serve the request.
     pub(crate) fn has_usable(&self, profile: &Profile) -> bool {
         let slots = self.fleet.of_service(&profile.service);
-        let members = slots.iter().filter_map(|slot| self.fleet.get(*slot));
-        members
+        let endpoints = slots.iter().filter_map(|slot| self.fleet.get(*slot));
+        endpoints
             .into_iter()
-            .any(|member| member.is_usable(profile.model.as_ref()))
+            .any(|endpoint| endpoint.is_usable(profile.model.as_ref()))
     }
 }
--- a/lib/src/report.rs
+++ b/lib/src/report.rs
@@ -4,7 +4,7 @@
 use serde::{Serialize, Serializer};
 
 use crate::{
-    fleet::{Health, Member},
+    fleet::{self, Health},
     id,
     scheduler::Scheduler,
     size, text, time,
@@ -75,17 +75,17 @@
     pub fn endpoints(&self, now: time::Instant) -> Vec<Endpoint> {
         let mut endpoints = Vec::new();
         for slot in self.fleet.slots() {
-            let Some(member) = self.fleet.get(slot).filter(|member| member.listed) else {
+            let Some(endpoint) = self.fleet.get(slot).filter(|endpoint| endpoint.listed) else {
                 continue;
             };
             endpoints.push(Endpoint {
-                name: member.record.id.clone(),
-                service: member.record.service.clone(),
-                data_centre: member.record.data_centre.clone(),
-                state: state(member, now),
-                window: size::Tokens(member.window.limit()),
-                in_flight: size::Tokens(member.own_tokens),
-                requests: member.requests,
+                name: endpoint.record.id.clone(),
+                service: endpoint.record.service.clone(),
+                data_centre: endpoint.record.data_centre.clone(),
+                state: state(endpoint, now),
+                window: size::Tokens(endpoint.window.limit()),
+                in_flight: size::Tokens(endpoint.own_tokens),
+                requests: endpoint.own_requests,
             });
         }
         endpoints.sort_by(|left, right| left.name.cmp(&right.name));
@@ -116,27 +116,27 @@
     }
 
     fn open_endpoints(&self, now: time::Instant, service: &id::Service) -> usize {
-        let members = self.fleet.of_service(service).iter();
-        let members = members.filter_map(|&slot| self.fleet.get(slot));
-        members
-            .filter(|member| member.listed && state(member, now) == State::Open)
+        let endpoints = self.fleet.of_service(service).iter();
+        let endpoints = endpoints.filter_map(|&slot| self.fleet.get(slot));
+        endpoints
+            .filter(|endpoint| endpoint.listed && state(endpoint, now) == State::Open)
             .count()
     }
 }
 
-fn state(member: &Member, now: time::Instant) -> State {
-    if member.is_leaving() {
+fn state(endpoint: &fleet::Endpoint, now: time::Instant) -> State {
+    if endpoint.is_leaving() {
         return State::Leaving;
     }
-    match member.health {
+    match endpoint.health {
         Health::Dead(_) => return State::Dead,
         Health::Probing(_) => return State::Probing,
-        Health::Sound => {}
+        Health::Healthy => {}
     }
-    if member.avoided_until > now {
+    if endpoint.avoided_until > now {
         return State::Avoided;
     }
-    if member.reserved.is_some() {
+    if endpoint.reserved.is_some() {
         return State::Reserved;
     }
     State::Open
--- a/lib/src/suspects.rs
+++ b/lib/src/suspects.rs
@@ -5,7 +5,7 @@
 use crate::{
     admission::{MAX_RETRY_DELAY, MIN_RETRY_DELAY},
     effect::Effect,
-    fleet::{Health, Member, Slot},
+    fleet::{Endpoint, Health, Slot},
     flight::Waiting,
     health::DEATH_SPAN,
     id,
@@ -68,7 +68,7 @@
         if !self.is_reservation_valid(request, slot) {
             return self.unreserve(service, slot);
         }
-        let empty = |member: &Member| member.requests == 0;
+        let empty = |endpoint: &Endpoint| endpoint.own_requests == 0;
         if self.fleet.get(slot).is_some_and(empty) {
             self.isolation.remove(service, request);
             self.admit(now, request, slot);
@@ -81,18 +81,18 @@
             return false;
         };
         let model = waiting.profile.model.as_ref();
-        let member = self.fleet.get(slot);
-        member.is_some_and(|member| {
-            member.reserved == Some(request)
-                && member.health == Health::Sound
-                && member.is_usable(model)
+        let endpoint = self.fleet.get(slot);
+        endpoint.is_some_and(|endpoint| {
+            endpoint.reserved == Some(request)
+                && endpoint.health == Health::Healthy
+                && endpoint.is_usable(model)
         })
     }
 
     /// Cancels the reservation of an endpoint.
     fn unreserve(&mut self, service: &id::Service, slot: Slot) {
-        if let Some(member) = self.fleet.get_mut(slot) {
-            member.reserved = None;
+        if let Some(endpoint) = self.fleet.get_mut(slot) {
+            endpoint.reserved = None;
         }
         if let Some(line) = self.isolation.lines.get_mut(service) {
             line.slot = None;
@@ -163,11 +163,11 @@
                 others += 1;
             }
         }
-        let Some(member) = self.fleet.get_mut(slot) else {
+        let Some(endpoint) = self.fleet.get_mut(slot) else {
             return;
         };
-        let name = member.record.id.clone();
-        let mut suspects = std::mem::take(&mut member.broken);
+        let name = endpoint.record.id.clone();
+        let mut suspects = std::mem::take(&mut endpoint.broken_fingerprints);
         if others > MAX_OTHER_DEATHS {
             return;
         }
@@ -191,10 +191,10 @@
         // of each other's suspects seldom run two on the same endpoint.
         let mut best = None;
         for candidate in &candidates {
-            let Some(member) = self.fleet.get(candidate.slot) else {
+            let Some(endpoint) = self.fleet.get(candidate.slot) else {
                 continue;
             };
-            let weight = rendezvous::endpoint_weight(fingerprint, &member.record.id);
+            let weight = rendezvous::endpoint_weight(fingerprint, &endpoint.record.id);
             best = best.max(Some((weight, candidate.slot)));
         }
         let (_, slot) = best?;
