--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -12,7 +12,7 @@
     fleet::{self, Slot},
     flight::{Flight, Waiting},
     id,
-    placement::Place,
+    placement::Choice,
     quarantine::Verdict,
     refusal::{Reason, Refusal},
     request::Profile,
@@ -49,7 +49,7 @@
         };
         match self.marks.verdict(now, waiting.profile.fingerprint) {
             Verdict::Confirmed => self.refuse(request, Reason::Quarantine, MAX_RETRY_DELAY),
-            Verdict::Suspect => self.isolate(now, request, waiting),
+            Verdict::Suspect => self.queue_suspect(now, request, waiting),
             Verdict::Clear => self.enqueue(now, request, waiting),
         }
     }
@@ -85,7 +85,7 @@
         let kind = service.kind;
         let workspace = text.workspaces.get(&profile.workspace);
         let share = workspace.map_or(1, |workspace| workspace.share);
-        if !self.has_usable(&profile) {
+        if !self.has_usable_endpoint(&profile) {
             return None;
         }
         let cached_blocks = self.prefixes.cached_blocks_by_slot(&profile.prefixes);
@@ -165,10 +165,10 @@
             let Some((model, request)) = backlog.next(&blocked) else {
                 return;
             };
-            match self.place(now, request) {
-                Place::At(slot) => self.admit(now, request, slot),
-                Place::Full => blocked.push(model),
-                Place::Nowhere => {
+            match self.choose_endpoint(now, request) {
+                Choice::At(slot) => self.admit(now, request, slot),
+                Choice::Full => blocked.push(model),
+                Choice::Impossible => {
                     self.remove_waiting(now, request);
                     self.refuse(request, Reason::NoEndpoint, MIN_RETRY_DELAY);
                 }
@@ -287,8 +287,8 @@
     /// Returns the waiting suspects whose deadline can't be met any more.
     fn overdue_suspects(&self, now: time::Instant, service: &id::Service) -> Vec<id::Request> {
         let mut overdue = Vec::new();
-        let line = self.isolation.lines.get(service);
-        for request in line.into_iter().flat_map(|line| &line.requests) {
+        let queue = self.isolation.queues.get(service);
+        for request in queue.into_iter().flat_map(|queue| &queue.requests) {
             let Some(waiting) = self.waiting.get(request) else {
                 continue;
             };
--- a/lib/src/crash.rs
+++ b/lib/src/crash.rs
@@ -77,7 +77,7 @@
             false
         });
         for fingerprint in &suspects {
-            for mark in self.marks.death(now, *fingerprint, endpoint) {
+            for mark in self.marks.record_death(now, *fingerprint, endpoint) {
                 self.unshared.push((mark, now + MARK_SEND_TIME));
             }
         }
@@ -86,7 +86,7 @@
 
     /// Records that a request was answered completely.
     pub fn record_answered(&mut self, now: time::Instant, fingerprint: id::Fingerprint) {
-        self.marks.answered(now, fingerprint);
+        self.marks.record_answer(now, fingerprint);
     }
 
     /// Returns the marks to send to the other nodes, with their validity.
@@ -98,6 +98,6 @@
 
     /// Applies a mark received from another node.
     pub fn apply_mark(&mut self, now: time::Instant, mark: id::Fingerprint, valid: Duration) {
-        self.marks.mark(now, mark, valid);
+        self.marks.add(now, mark, valid);
     }
 }
--- a/lib/src/fields.rs
+++ b/lib/src/fields.rs
@@ -240,8 +240,8 @@
     /// Reads a required boolean.
     pub fn boolean(&mut self, fields: &Fields<'_>, name: &str) -> Option<bool> {
         let node = self.required(fields, name, "true")?;
-        if let Item::Flag(flag) = node.item {
-            return Some(flag);
+        if let Item::Bool(value) = node.item {
+            return Some(value);
         }
         let message = format!("`{}` is not a boolean; write `true` or `false`", node.item);
         self.report(node.line, fields.path_of(name), message);
--- a/lib/src/health.rs
+++ b/lib/src/health.rs
@@ -185,7 +185,7 @@
         }
         let service = endpoint.record.service.clone();
         if died {
-            self.died(now, slot);
+            self.record_death(now, slot);
         }
         self.admit_waiting(now, &service);
     }
@@ -259,7 +259,7 @@
     /// Records the length and speed of a complete answer.
     fn record_answer(&mut self, now: time::Instant, flight: &Flight, output: size::Tokens) {
         let profile = &flight.waiting.profile;
-        self.marks.answered(now, profile.fingerprint);
+        self.marks.record_answer(now, profile.fingerprint);
         let Some(started) = flight.started else {
             return;
         };
--- a/lib/src/isolation.rs
+++ b/lib/src/isolation.rs
@@ -20,13 +20,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct Isolation {
     /// The queues by service.
-    pub lines: BTreeMap<id::Service, Queue>,
+    pub queues: BTreeMap<id::Service, Queue>,
 }
 
 impl Isolation {
     /// Adds a suspect; returns false if too many wait.
     pub fn push(&mut self, service: &id::Service, request: id::Request) -> bool {
-        let queue = self.lines.entry(service.clone()).or_default();
+        let queue = self.queues.entry(service.clone()).or_default();
         if queue.requests.len() >= MAX_SUSPECTS {
             return false;
         }
@@ -36,7 +36,7 @@
 
     /// Removes a suspect and returns the slot that was reserved for it.
     pub fn remove(&mut self, service: &id::Service, request: id::Request) -> Option<fleet::Slot> {
-        let queue = self.lines.get_mut(service)?;
+        let queue = self.queues.get_mut(service)?;
         let position = queue.requests.iter().position(|each| *each == request)?;
         queue.requests.remove(position);
         let slot = if position == 0 {
@@ -45,7 +45,7 @@
             None
         };
         if queue.requests.is_empty() {
-            self.lines.remove(service);
+            self.queues.remove(service);
         }
         slot
     }
--- a/lib/src/placement.rs
+++ b/lib/src/placement.rs
@@ -11,21 +11,21 @@
     window::FIRST_TOKEN_TARGET,
 };
 
-/// Choice of an endpoint for a waiting request.
-pub(crate) enum Place {
+/// Result of choosing an endpoint for a waiting request.
+pub(crate) enum Choice {
     /// At this endpoint.
     At(Slot),
     /// No endpoint has room now.
     Full,
     /// No endpoint can ever take it.
-    Nowhere,
+    Impossible,
 }
 
 impl Scheduler {
     /// Chooses an endpoint for a waiting request.
-    pub(crate) fn place(&mut self, now: time::Instant, request: id::Request) -> Place {
+    pub(crate) fn choose_endpoint(&mut self, now: time::Instant, request: id::Request) -> Choice {
         let Some(waiting) = self.waiting.get(&request) else {
-            return Place::Full;
+            return Choice::Full;
         };
         let mut suitable = self.candidates(now, waiting);
         let profile = &waiting.profile;
@@ -41,9 +41,9 @@
         let (mut fitting, full): (Vec<Candidate>, Vec<Candidate>) =
             suitable.into_iter().partition(fits);
         if fitting.is_empty() {
-            let place = self.full_or_nowhere(waiting);
+            let choice = self.full_or_impossible(waiting);
             self.record_limiting_windows(&full);
-            return place;
+            return choice;
         }
         let prefixes = &waiting.profile.prefixes;
         let cached_blocks = self.prefixes.cached_blocks_by_slot(prefixes);
@@ -54,7 +54,7 @@
         let first = prefixes.first().copied();
         let chosen = context.choose(&mut self.rng, &mut self.round_robin_turn, &fitting, first);
         self.record_limiting_windows(&full);
-        chosen.map_or(Place::Full, |candidate| Place::At(candidate.slot))
+        chosen.map_or(Choice::Full, |candidate| Choice::At(candidate.slot))
     }
 
     /// Returns the endpoints of the service that could take the request,
@@ -84,8 +84,9 @@
         candidates
     }
 
-    /// Returns whether a request that fits nowhere now may be placed later.
-    fn full_or_nowhere(&self, waiting: &Waiting) -> Place {
+    /// Returns whether a request that fits no endpoint now may fit one later
+    /// ([`Choice::Full`]) or never ([`Choice::Impossible`]).
+    fn full_or_impossible(&self, waiting: &Waiting) -> Choice {
         let profile = &waiting.profile;
         for &slot in self.fleet.of_service(&profile.service) {
             let Some(endpoint) = self.fleet.get(slot) else {
@@ -93,10 +94,10 @@
             };
             let usable = endpoint.is_usable(profile.model.as_ref());
             if usable && !waiting.avoided.contains(&endpoint.record.id) {
-                return Place::Full;
+                return Choice::Full;
             }
         }
-        Place::Nowhere
+        Choice::Impossible
     }
 
     /// Records that the windows of these endpoints are keeping requests
@@ -110,7 +111,7 @@
     }
 
     /// Returns whether any endpoint can serve the request.
-    pub(crate) fn has_usable(&self, profile: &Profile) -> bool {
+    pub(crate) fn has_usable_endpoint(&self, profile: &Profile) -> bool {
         let slots = self.fleet.of_service(&profile.service);
         let endpoints = slots.iter().filter_map(|slot| self.fleet.get(*slot));
         endpoints
--- a/lib/src/quarantine.rs
+++ b/lib/src/quarantine.rs
@@ -94,7 +94,7 @@
     ) -> id::Fingerprint {
         let mark = broken_mark(fingerprint);
         self.cleared.remove(&fingerprint);
-        self.mark(now, mark, MARK_TTL);
+        self.add(now, mark, MARK_TTL);
         mark
     }
 
@@ -103,7 +103,7 @@
     ///
     /// Nodes that observe the same death derive the same marks, so that it
     /// counts once.
-    pub fn death(
+    pub fn record_death(
         &mut self,
         now: time::Instant,
         fingerprint: id::Fingerprint,
@@ -117,13 +117,13 @@
         }
         self.cleared.remove(&fingerprint);
         for mark in &marks {
-            self.mark(now, *mark, MARK_TTL);
+            self.add(now, *mark, MARK_TTL);
         }
         marks
     }
 
     /// Adds a mark, or extends the time for which it holds.
-    pub fn mark(&mut self, now: time::Instant, mark: id::Fingerprint, valid: Duration) {
+    pub fn add(&mut self, now: time::Instant, mark: id::Fingerprint, valid: Duration) {
         let until = now + valid.min(MARK_TTL);
         let held = self.marks.entry(mark).or_insert(until);
         *held = until.max(*held);
@@ -136,7 +136,7 @@
     }
 
     /// Records that the request was answered completely, which clears a suspect.
-    pub fn answered(&mut self, now: time::Instant, fingerprint: id::Fingerprint) {
+    pub fn record_answer(&mut self, now: time::Instant, fingerprint: id::Fingerprint) {
         if self.verdict(now, fingerprint) == Verdict::Suspect {
             self.cleared.insert(fingerprint, now + CLEARED_TTL);
         }
--- a/lib/src/scheduler.rs
+++ b/lib/src/scheduler.rs
@@ -107,7 +107,7 @@
             Event::Progressed(request, tokens) => self.record_progress(now, request, tokens),
             Event::Ended(request, outcome) => self.record_end(now, request, outcome),
             Event::Probed(endpoint, answered) => self.record_probe(now, &endpoint, answered),
-            Event::Suspected(marks) => self.suspect(now, marks),
+            Event::Suspected(marks) => self.apply_marks(now, marks),
             // No policy sends messages of the admission protocol yet.
             Event::Peer(..) => {}
             Event::Members(members) => self.set_members(members),
--- a/lib/src/suspects.rs
+++ b/lib/src/suspects.rs
@@ -29,15 +29,24 @@
 
 impl Scheduler {
     /// Applies marks received from a peer.
-    pub(crate) fn suspect(&mut self, now: time::Instant, marks: Vec<(id::Fingerprint, Duration)>) {
+    pub(crate) fn apply_marks(
+        &mut self,
+        now: time::Instant,
+        marks: Vec<(id::Fingerprint, Duration)>,
+    ) {
         for (mark, valid) in marks {
-            self.marks.mark(now, mark, valid);
+            self.marks.add(now, mark, valid);
         }
         self.refuse_confirmed(now);
     }
 
     /// Queues a suspect until an endpoint can be reserved for it.
-    pub(crate) fn isolate(&mut self, now: time::Instant, request: id::Request, waiting: Waiting) {
+    pub(crate) fn queue_suspect(
+        &mut self,
+        now: time::Instant,
+        request: id::Request,
+        waiting: Waiting,
+    ) {
         let service = waiting.profile.service.clone();
         if !self.isolation.push(&service, request) {
             return self.refuse(request, Reason::Quarantine, SUSPECT_RETRY_AFTER);
@@ -50,20 +59,20 @@
     /// empty.
     pub(crate) fn admit_suspect(&mut self, now: time::Instant, service: &id::Service) {
         self.refuse_stranded(now, service);
-        let Some(line) = self.isolation.lines.get(service) else {
+        let Some(queue) = self.isolation.queues.get(service) else {
             return;
         };
-        let Some(&request) = line.requests.front() else {
+        let Some(&request) = queue.requests.front() else {
             return;
         };
         if !self.has_waited_for_marks(now, request) {
             return;
         }
-        let Some(slot) = line.slot.or_else(|| self.reserve(now, request)) else {
+        let Some(slot) = queue.slot.or_else(|| self.reserve(now, request)) else {
             return;
         };
-        if let Some(line) = self.isolation.lines.get_mut(service) {
-            line.slot = Some(slot);
+        if let Some(queue) = self.isolation.queues.get_mut(service) {
+            queue.slot = Some(slot);
         }
         if !self.is_reservation_valid(request, slot) {
             return self.unreserve(service, slot);
@@ -94,16 +103,16 @@
         if let Some(endpoint) = self.fleet.get_mut(slot) {
             endpoint.reserved = None;
         }
-        if let Some(line) = self.isolation.lines.get_mut(service) {
-            line.slot = None;
+        if let Some(queue) = self.isolation.queues.get_mut(service) {
+            queue.slot = None;
         }
     }
 
     /// Returns the waiting suspect of the lowest tier for a service.
     pub(crate) fn lowest_suspect(&self, service: &id::Service) -> Option<(id::Tier, id::Request)> {
         let mut lowest = None;
-        let line = self.isolation.lines.get(service);
-        for request in line.into_iter().flat_map(|line| &line.requests) {
+        let queue = self.isolation.queues.get(service);
+        for request in queue.into_iter().flat_map(|queue| &queue.requests) {
             let waiting = self.waiting.get(request);
             lowest = lowest.max(waiting.map(|waiting| (waiting.profile.tier, *request)));
         }
@@ -120,10 +129,10 @@
     /// Refuses suspects whose service has no usable endpoint left.
     fn refuse_stranded(&mut self, now: time::Instant, service: &id::Service) {
         let mut stranded = Vec::new();
-        let line = self.isolation.lines.get(service);
-        for request in line.into_iter().flat_map(|line| &line.requests) {
+        let queue = self.isolation.queues.get(service);
+        for request in queue.into_iter().flat_map(|queue| &queue.requests) {
             let waiting = self.waiting.get(request);
-            if waiting.is_some_and(|waiting| !self.has_usable(&waiting.profile)) {
+            if waiting.is_some_and(|waiting| !self.has_usable_endpoint(&waiting.profile)) {
                 stranded.push(*request);
             }
         }
@@ -136,8 +145,8 @@
     /// Refuses suspects that are now confirmed to crash endpoints.
     fn refuse_confirmed(&mut self, now: time::Instant) {
         let mut confirmed = Vec::new();
-        for line in self.isolation.lines.values() {
-            for request in &line.requests {
+        for queue in self.isolation.queues.values() {
+            for request in &queue.requests {
                 let Some(waiting) = self.waiting.get(request) else {
                     continue;
                 };
@@ -155,7 +164,7 @@
 
     /// Marks the requests that were in flight at an endpoint's death, unless so
     /// many endpoints died that the network is the likely cause.
-    pub(crate) fn died(&mut self, now: time::Instant, slot: Slot) {
+    pub(crate) fn record_death(&mut self, now: time::Instant, slot: Slot) {
         self.deaths.insert(slot, now);
         let mut others = 0;
         for (other, at) in &self.deaths {
@@ -175,7 +184,7 @@
             suspects.insert(flight.waiting.profile.fingerprint);
         }
         for fingerprint in suspects {
-            for mark in self.marks.death(now, fingerprint, &name) {
+            for mark in self.marks.record_death(now, fingerprint, &name) {
                 self.effects.push(Effect::Quarantine(mark));
             }
         }
--- a/lib/src/tree.rs
+++ b/lib/src/tree.rs
@@ -25,7 +25,7 @@
     /// Null.
     Null,
     /// A boolean.
-    Flag(bool),
+    Bool(bool),
     /// An integer.
     Integer(i64),
     /// Any other number.
@@ -42,7 +42,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Null => f.write_str("nothing"),
-            Self::Flag(flag) => write!(f, "{flag}"),
+            Self::Bool(value) => write!(f, "{value}"),
             Self::Integer(number) => write!(f, "{number}"),
             Self::Float(number) => write!(f, "{number}"),
             Self::Text(text) => f.write_str(text),
@@ -152,8 +152,8 @@
         deserializer.deserialize_any(self)
     }
 
-    fn visit_bool<E>(self, flag: bool) -> Result<Item, E> {
-        Ok(Item::Flag(flag))
+    fn visit_bool<E>(self, value: bool) -> Result<Item, E> {
+        Ok(Item::Bool(value))
     }
 
     fn visit_i64<E>(self, number: i64) -> Result<Item, E> {
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -61,9 +61,9 @@
 fn second_death_confirms() {
     let mut marks = Marks::default();
     let crashing = Fingerprint(7);
-    marks.death(at(0), crashing, &"e0".into());
+    marks.record_death(at(0), crashing, &"e0".into());
     assert_eq!(marks.verdict(at(1), crashing), Verdict::Suspect);
-    marks.death(at(2), crashing, &"e1".into());
+    marks.record_death(at(2), crashing, &"e1".into());
     assert_eq!(marks.verdict(at(3), crashing), Verdict::Confirmed);
     let later = at(4) + MARK_TTL;
     assert_eq!(marks.verdict(later, crashing), Verdict::Clear);
@@ -72,10 +72,10 @@
 #[test]
 fn same_death_seen_by_two_nodes_counts_once() {
     let (mut one, mut two) = (Marks::default(), Marks::default());
-    for mark in one.death(at(0), Fingerprint(7), &"e0".into()) {
-        two.mark(at(1), mark, Duration::from_mins(1));
+    for mark in one.record_death(at(0), Fingerprint(7), &"e0".into()) {
+        two.add(at(1), mark, Duration::from_mins(1));
     }
-    two.death(at(2), Fingerprint(7), &"e0".into());
+    two.record_death(at(2), Fingerprint(7), &"e0".into());
     assert_eq!(two.verdict(at(3), Fingerprint(7)), Verdict::Suspect);
 }
 
