--- a/cli/src/command/apply.rs
+++ b/cli/src/command/apply.rs
@@ -6,7 +6,7 @@
 };
 
 use argh::FromArgs;
-use dottereltally_lib::{id, text::Text};
+use dottereltally_lib::{configuration::Configuration, id};
 use dottereltally_store::proposal::{Accepted, Proposal};
 use serde_json::json;
 use tokio::time;
@@ -54,7 +54,7 @@
     /// Runs the command.
     pub async fn run(&self, platform: &Platform, printer: Printer) -> eyre::Result<Code> {
         let document = document::Document::read(&self.file)?;
-        document.content.parse::<Text>()?;
+        document.content.parse::<Configuration>()?;
         let proposal = self.proposal(&document, platform).await?;
         let accepted = proposal.submit(&platform.store()?, self.timeout).await?;
         let (generation, changes) = match accepted {
--- a/cli/src/command/check.rs
+++ b/cli/src/command/check.rs
@@ -1,7 +1,7 @@
 //! `check`: lists every fault of a file, without contacting the platform.
 
 use argh::FromArgs;
-use dottereltally_lib::text::Text;
+use dottereltally_lib::configuration::Configuration;
 use serde_json::json;
 
 use crate::{command::Code, document, output::Printer};
@@ -19,19 +19,19 @@
     /// Runs the command.
     pub fn run(&self, printer: Printer) -> eyre::Result<Code> {
         let document = document::Document::read(&self.file)?;
-        let text: Text = document.content.parse()?;
+        let configuration: Configuration = document.content.parse()?;
         let summary = format!(
             "{}: {} services, {} calls, {} workspaces, no faults",
             self.file,
-            text.services.len(),
-            text.calls.len(),
-            text.workspaces.len()
+            configuration.services.len(),
+            configuration.calls.len(),
+            configuration.workspaces.len()
         );
         let value = json!({
             "file": self.file,
-            "services": text.services.len(),
-            "calls": text.calls.len(),
-            "workspaces": text.workspaces.len(),
+            "services": configuration.services.len(),
+            "calls": configuration.calls.len(),
+            "workspaces": configuration.workspaces.len(),
         });
         printer.print(&summary, &value)?;
         Ok(Code::Done)
--- a/cli/src/command/diff.rs
+++ b/cli/src/command/diff.rs
@@ -1,7 +1,7 @@
 //! `diff`: compares a file with the configuration in force.
 
 use argh::FromArgs;
-use dottereltally_lib::{difference, text::Text};
+use dottereltally_lib::{configuration::Configuration, difference};
 use dottereltally_store::proposal;
 use serde_json::json;
 
@@ -20,7 +20,7 @@
     /// Runs the command.
     pub async fn run(&self, platform: &Platform, printer: Printer) -> eyre::Result<Code> {
         let document = document::Document::read(&self.file)?;
-        document.content.parse::<Text>()?;
+        document.content.parse::<Configuration>()?;
         let current = proposal::current(&platform.store()?).await?;
         let Some(current) = current else {
             let text = "no configuration is in force yet; `apply` makes this the first";
--- a/cli/src/command/explain.rs
+++ b/cli/src/command/explain.rs
@@ -3,8 +3,8 @@
 
 use argh::FromArgs;
 use dottereltally_lib::{
+    configuration::{Configuration, graph},
     id,
-    text::{Text, graph},
 };
 use dottereltally_store::proposal;
 use eyre::eyre;
@@ -38,21 +38,21 @@
     pub async fn run(&self, platform: &Platform, printer: Printer) -> eyre::Result<Code> {
         let current = proposal::current(&platform.store()?).await?;
         let current = current.ok_or_else(|| eyre!("no configuration is in force; `apply` one"))?;
-        let text: Text = current.text.parse()?;
+        let configuration: Configuration = current.text.parse()?;
         let model = self.model.as_deref().map(id::Model::from);
-        let (name, call) = text
-            .call(&self.method, &self.path, model.as_ref())
+        let (name, call) = configuration
+            .match_call(&self.method, &self.path, model.as_ref())
             .ok_or_else(|| {
                 eyre!("no call matches, so the answer would be 404; add a call under `calls`")
             })?;
-        let dependencies = graph::closure(&text.services, &call.service);
+        let dependencies = graph::closure(&configuration.services, &call.service);
         let mut lines = vec![
             format!("call {name} of service {}", call.service),
             format!(
                 "tier {} ({} of {})",
-                text.tier_name(call.tier),
+                configuration.tier_name(call.tier),
                 call.tier.0 + 1,
-                text.tiers.len()
+                configuration.tiers.len()
             ),
             format!("deadline {}", humantime::format_duration(call.deadline)),
             format!("idempotent {}", call.idempotent),
@@ -62,12 +62,12 @@
             lines.push(format!("depends on {}", names.join(", ")));
         }
         if let Some(name) = &self.workspace {
-            lines.push(workspace_line(&text, name)?);
+            lines.push(workspace_line(&configuration, name)?);
         }
         let value = json!({
             "call": name,
             "service": call.service,
-            "tier": text.tier_name(call.tier),
+            "tier": configuration.tier_name(call.tier),
             "deadline": humantime::format_duration(call.deadline).to_string(),
             "idempotent": call.idempotent,
             "depends_on": dependencies,
@@ -77,8 +77,8 @@
     }
 }
 
-fn workspace_line(text: &Text, name: &str) -> eyre::Result<String> {
-    let workspace = text
+fn workspace_line(configuration: &Configuration, name: &str) -> eyre::Result<String> {
+    let workspace = configuration
         .workspaces
         .get(&id::Workspace::from(name))
         .ok_or_else(|| eyre!("there is no workspace `{name}`; declare it under `workspaces`"))?;
--- a/lib/examples/costs.rs
+++ b/lib/examples/costs.rs
@@ -21,6 +21,7 @@
 
 use dottereltally_lib::{
     balance::Policy,
+    configuration::{Configuration, Kind, Service, Workspace},
     effect::Effect,
     endpoint::{Cache, Change, Load, Record, Standing},
     event::{Event, Outcome},
@@ -28,7 +29,6 @@
     request::Profile,
     scheduler::{Scheduler, Settings},
     size::Tokens,
-    text::{Kind, Service, Text, Workspace},
     time,
 };
 
@@ -55,7 +55,7 @@
 /// Repetitions of each timed event.
 const REPETITIONS: u32 = 2000;
 
-fn text(workspaces: usize) -> Arc<Text> {
+fn configuration(workspaces: usize) -> Arc<Configuration> {
     let workspace = Workspace {
         keys: BTreeSet::new(),
         share: 1,
@@ -69,7 +69,7 @@
         adapters: BTreeSet::new(),
         window: Tokens(60_000),
     };
-    Arc::new(Text {
+    Arc::new(Configuration {
         tiers: ["a", "b", "c", "d"].map(String::from).to_vec(),
         services: BTreeMap::from([("llm".into(), service)]),
         calls: BTreeMap::new(),
@@ -167,7 +167,7 @@
 }
 
 fn measure((nodes, replicas, workspaces): (usize, usize, usize)) {
-    let text = text(workspaces);
+    let configuration = configuration(workspaces);
     let before = memory();
     let mut bench = Bench {
         scheduler: Scheduler::new(Settings {
@@ -178,7 +178,7 @@
         }),
         now: 0,
     };
-    bench.handle(Event::Configured(text));
+    bench.handle(Event::Configured(configuration));
     let members = (0..nodes).map(|node| (format!("n{node}").into(), "dc0".into()));
     bench.handle(Event::Members(members.collect()));
     bench.handle(Event::Listed(records(replicas)));
--- a/lib/examples/experiment/driver.rs
+++ b/lib/examples/experiment/driver.rs
@@ -8,6 +8,7 @@
 
 use dottereltally_lib::{
     balance::Policy,
+    configuration::{self, Configuration},
     effect::Effect,
     endpoint::{Cache, Load, Record, Standing},
     event::{Event, Outcome},
@@ -16,7 +17,6 @@
     request::Profile,
     scheduler::{Scheduler, Settings},
     size::Tokens,
-    text::{self, Text},
     time::Instant,
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -704,26 +704,26 @@
     }
 }
 
-fn configuration() -> Arc<Text> {
-    let service = |kind, window| text::Service {
+fn configuration() -> Arc<Configuration> {
+    let service = |kind, window| configuration::Service {
         kind,
         depends_on: BTreeSet::new(),
         models: BTreeSet::new(),
         adapters: BTreeSet::new(),
         window: Tokens(window),
     };
-    let workspace = text::Workspace {
+    let workspace = configuration::Workspace {
         keys: BTreeSet::new(),
         share: 1,
         limit: None,
     };
     let workspaces =
         (0..5).map(|number| (id::Workspace::from(format!("w{number}")), workspace.clone()));
-    Arc::new(Text {
+    Arc::new(Configuration {
         tiers: ["gate", "plan", "chat", "tag"].map(String::from).to_vec(),
         services: BTreeMap::from([
-            ("llm".into(), service(text::Kind::Model, 60_000)),
-            ("app".into(), service(text::Kind::Plain, 8)),
+            ("llm".into(), service(configuration::Kind::Model, 60_000)),
+            ("app".into(), service(configuration::Kind::Plain, 8)),
         ]),
         calls: BTreeMap::new(),
         workspaces: workspaces.collect(),
--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -8,6 +8,7 @@
     affinity,
     backlog::{Backlog, Lane, MAX_WAITING},
     balance::Policy,
+    configuration,
     effect::Effect,
     fleet::{self, Slot},
     flight::{Flight, Waiting},
@@ -17,7 +18,7 @@
     refusal::{Reason, Refusal},
     request::Profile,
     scheduler::Scheduler,
-    size, text, time,
+    size, time,
 };
 
 /// Shortest retry delay that a refusal names.
@@ -80,10 +81,10 @@
     /// Returns the request with its cost, or `None` without a configuration
     /// or an endpoint that can serve it.
     fn classify(&mut self, profile: Arc<Profile>) -> Option<Waiting> {
-        let text = self.text.as_ref()?;
-        let service = text.services.get(&profile.service)?;
+        let configuration = self.configuration.as_ref()?;
+        let service = configuration.services.get(&profile.service)?;
         let kind = service.kind;
-        let workspace = text.workspaces.get(&profile.workspace);
+        let workspace = configuration.workspaces.get(&profile.workspace);
         let share = workspace.map_or(1, |workspace| workspace.share);
         if !self.has_usable_endpoint(&profile) {
             return None;
@@ -94,14 +95,14 @@
         let most_blocks = cached_blocks.values().max().copied().unwrap_or(0);
         let cached = size::Tokens(affinity::BLOCK_TOKENS * most_blocks);
         let (cost, work) = match kind {
-            text::Kind::Model => {
+            configuration::Kind::Model => {
                 let uncached = profile.prompt.saturating_sub(cached).0;
                 (
                     profile.prompt.0 + expected_output,
                     uncached + expected_output,
                 )
             }
-            text::Kind::Plain => (1, 1),
+            configuration::Kind::Plain => (1, 1),
         };
         let service_time = lane.service_time(expected_output);
         let admit_by = profile.deadline - service_time;
--- a/lib/src/text.rs
+++ b/lib/src/configuration.rs
@@ -2,9 +2,9 @@
 //! validated as a whole.
 
 mod calls;
+pub mod document;
 pub mod graph;
 mod services;
-pub mod wire;
 mod workspaces;
 
 use std::{
@@ -18,7 +18,7 @@
 
 /// A validated configuration: every name that it refers to is declared in it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Text {
+pub struct Configuration {
     /// Names of the tiers, highest first; at most four.
     pub tiers: Vec<String>,
     /// The services.
@@ -88,7 +88,7 @@
     pub limit: Option<u32>,
 }
 
-impl Text {
+impl Configuration {
     /// Returns the tier with this name.
     #[must_use]
     pub fn tier(&self, name: &str) -> Option<id::Tier> {
@@ -108,7 +108,7 @@
     /// before one with `*`, then the longer path, then a call that names the
     /// model.
     #[must_use]
-    pub fn call(
+    pub fn match_call(
         &self,
         method: &str,
         path: &str,
--- a/lib/src/text/calls.rs
+++ b/lib/src/configuration/calls.rs
@@ -3,9 +3,9 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use crate::{
+    configuration::{Call, Configuration, document::check_name},
     fields::{Fields, Reader},
     id,
-    text::{Call, Text, wire::check_name},
     tree::Node,
 };
 
@@ -13,15 +13,20 @@
 const MAX_DEADLINE: Duration = Duration::from_hours(1);
 const METHODS: [&str; 7] = ["DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT"];
 
-/// Reads all calls; the tiers and services of `text` must have been read before.
-pub(super) fn read(reader: &mut Reader, node: &Node, text: &Text) -> BTreeMap<id::Call, Call> {
+/// Reads all calls; the tiers and services of `configuration` must have been
+/// read before.
+pub(super) fn read(
+    reader: &mut Reader,
+    node: &Node,
+    configuration: &Configuration,
+) -> BTreeMap<id::Call, Call> {
     let entries = reader.entries(node, "calls");
     let mut calls = BTreeMap::new();
     let mut seen: BTreeMap<(String, String, Option<id::Model>), String> = BTreeMap::new();
     for (name, node) in entries.iter() {
         let path = format!("calls.{name}");
         check_name(reader, node.line, &path, name);
-        let Some(call) = read_call(reader, node, &path, text) else {
+        let Some(call) = read_call(reader, node, &path, configuration) else {
             continue;
         };
         let matcher = (call.method.clone(), call.path.clone(), call.model.clone());
@@ -36,7 +41,12 @@
     calls
 }
 
-fn read_call(reader: &mut Reader, node: &Node, path: &str, text: &Text) -> Option<Call> {
+fn read_call(
+    reader: &mut Reader,
+    node: &Node,
+    path: &str,
+    configuration: &Configuration,
+) -> Option<Call> {
     let known = [
         "service",
         "method",
@@ -48,10 +58,10 @@
         "unkeyed",
     ];
     let fields = reader.fields(node, path, &known);
-    let service = read_service(reader, &fields, text);
+    let service = read_service(reader, &fields, configuration);
     let method = read_method(reader, &fields);
     let path_pattern = read_path(reader, &fields);
-    let tier = read_tier(reader, &fields, text);
+    let tier = read_tier(reader, &fields, configuration);
     let deadline = reader.duration(&fields, "deadline", (MIN_DEADLINE, MAX_DEADLINE));
     let idempotent = reader.boolean(&fields, "idempotent");
     let unkeyed = read_unkeyed(reader, &fields, idempotent);
@@ -60,7 +70,7 @@
         .map(id::Model::from);
     let service = service?;
     if let Some(model) = &model {
-        check_model(reader, &fields, model, &service, text);
+        check_model(reader, &fields, model, &service, configuration);
     }
     Some(Call {
         service,
@@ -74,10 +84,14 @@
     })
 }
 
-fn read_service(reader: &mut Reader, fields: &Fields<'_>, text: &Text) -> Option<id::Service> {
+fn read_service(
+    reader: &mut Reader,
+    fields: &Fields<'_>,
+    configuration: &Configuration,
+) -> Option<id::Service> {
     let name = reader.string(fields, "service", "NAME")?;
     let service = id::Service::from(name);
-    if !text.services.contains_key(&service) {
+    if !configuration.services.contains_key(&service) {
         let message = format!("`{service}` is not a declared service; declare it under `services`");
         reader.report(
             fields.line_of("service"),
@@ -122,13 +136,17 @@
     None
 }
 
-fn read_tier(reader: &mut Reader, fields: &Fields<'_>, text: &Text) -> Option<id::Tier> {
+fn read_tier(
+    reader: &mut Reader,
+    fields: &Fields<'_>,
+    configuration: &Configuration,
+) -> Option<id::Tier> {
     let name = reader.string(fields, "tier", "NAME")?;
-    let tier = text.tier(&name);
+    let tier = configuration.tier(&name);
     if tier.is_none() {
         let message = format!(
             "`{name}` is not a declared tier; use one of `{}`",
-            text.tiers.join("`, `")
+            configuration.tiers.join("`, `")
         );
         reader.report(
             fields.line_of("tier"),
@@ -160,9 +178,9 @@
     fields: &Fields<'_>,
     model: &id::Model,
     service: &id::Service,
-    text: &Text,
+    configuration: &Configuration,
 ) {
-    let Some(service) = text.services.get(service) else {
+    let Some(service) = configuration.services.get(service) else {
         return;
     };
     if service.models.contains(model) || service.adapters.contains(model) {
--- a/lib/src/text/wire.rs
+++ b/lib/src/configuration/document.rs
@@ -3,9 +3,9 @@
 use std::str::FromStr;
 
 use crate::{
+    configuration::{Configuration, calls, services, workspaces},
     fault,
     fields::{Fields, Reader},
-    text::{Text, calls, services, workspaces},
     tree::Node,
 };
 
@@ -23,7 +23,7 @@
 /// # Errors
 ///
 /// Fails with every error of the document, each with its line and how to fix it.
-pub fn parse(document: &str) -> Result<Text, fault::List> {
+pub fn parse(document: &str) -> Result<Configuration, fault::List> {
     let mut reader = Reader::default();
     if document.len() > MAX_DOCUMENT_BYTES {
         reader.report(
@@ -31,14 +31,14 @@
             "document",
             format!("longer than {MAX_DOCUMENT_BYTES} bytes; shorten names or remove workspaces"),
         );
-        return reader.finish(Text::default());
+        return reader.finish(Configuration::default());
     }
     let node = Node::parse(document)?;
-    let text = read(&mut reader, &node);
-    reader.finish(text)
+    let configuration = read(&mut reader, &node);
+    reader.finish(configuration)
 }
 
-impl FromStr for Text {
+impl FromStr for Configuration {
     type Err = fault::List;
 
     fn from_str(document: &str) -> Result<Self, fault::List> {
@@ -46,25 +46,25 @@
     }
 }
 
-fn read(reader: &mut Reader, node: &Node) -> Text {
+fn read(reader: &mut Reader, node: &Node) -> Configuration {
     let known = ["generation", "tiers", "services", "calls", "workspaces"];
     let fields = reader.fields(node, "", &known);
     let tiers = read_tiers(reader, &fields);
-    let mut text = Text {
+    let mut configuration = Configuration {
         tiers,
-        ..Text::default()
+        ..Configuration::default()
     };
     reader.integer(&fields, "generation", (0, i64::MAX.unsigned_abs()), None);
     if let Some(node) = reader.required(&fields, "services", "{...}") {
-        text.services = services::read(reader, node);
+        configuration.services = services::read(reader, node);
     }
     if let Some(node) = reader.required(&fields, "calls", "{...}") {
-        text.calls = calls::read(reader, node, &text);
+        configuration.calls = calls::read(reader, node, &configuration);
     }
     if let Some(node) = reader.required(&fields, "workspaces", "{...}") {
-        text.workspaces = workspaces::read(reader, node);
+        configuration.workspaces = workspaces::read(reader, node);
     }
-    text
+    configuration
 }
 
 fn read_tiers(reader: &mut Reader, fields: &Fields<'_>) -> Vec<String> {
--- a/lib/src/text/graph.rs
+++ b/lib/src/configuration/graph.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::{id, text::Service};
+use crate::{configuration::Service, id};
 
 /// Returns every set of services that depend on each other in a cycle, each once.
 #[must_use]
--- a/lib/src/text/services.rs
+++ b/lib/src/configuration/services.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use crate::{
+    configuration::{Kind, Service, document::check_name, graph},
     fields::{Fields, Reader},
     id, size,
-    text::{Kind, Service, graph, wire::check_name},
     tree::Node,
 };
 
--- a/lib/src/text/workspaces.rs
+++ b/lib/src/configuration/workspaces.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{
+    configuration::{Workspace, document::check_name},
     fields::Reader,
     id,
-    text::{Workspace, wire::check_name},
     tree::Node,
 };
 
--- a/lib/src/event.rs
+++ b/lib/src/event.rs
@@ -2,13 +2,13 @@
 
 use std::{sync::Arc, time::Duration};
 
-use crate::{endpoint, id, request, size, text};
+use crate::{configuration, endpoint, id, request, size};
 
 /// An input of the decision core.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// This configuration is in force.
-    Configured(Arc<text::Text>),
+    Configured(Arc<configuration::Configuration>),
     /// The host list was read; it replaces the previous one.
     Listed(Vec<endpoint::Record>),
     /// An endpoint reported its load.
--- a/lib/src/flight.rs
+++ b/lib/src/flight.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::{fair, fleet, id, request, text, time};
+use crate::{configuration, fair, fleet, id, request, time};
 
 /// A request that waits for an endpoint.
 #[derive(Clone, Debug)]
@@ -10,7 +10,7 @@
     /// Its properties.
     pub profile: Arc<request::Profile>,
     /// Kind of its service.
-    pub kind: text::Kind,
+    pub kind: configuration::Kind,
     /// Tokens that it is expected to occupy at an endpoint.
     pub cost: u64,
     /// Tokens to be computed for it: the part of its prompt that no endpoint is
--- a/lib/src/health.rs
+++ b/lib/src/health.rs
@@ -3,6 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use crate::{
+    configuration,
     effect::Effect,
     endpoint::{Cache, Load, Record},
     event::Outcome,
@@ -10,7 +11,7 @@
     flight::Flight,
     id,
     scheduler::Scheduler,
-    size, text, time,
+    size, time,
     window::FIRST_TOKEN_TARGET,
 };
 
@@ -29,25 +30,30 @@
 
 impl Scheduler {
     /// Applies the operators' configuration.
-    pub(crate) fn configure(&mut self, now: time::Instant, text: Arc<text::Text>) {
+    pub(crate) fn configure(
+        &mut self,
+        now: time::Instant,
+        configuration: Arc<configuration::Configuration>,
+    ) {
         for slot in self.fleet.slots() {
             let Some(endpoint) = self.fleet.get_mut(slot) else {
                 continue;
             };
-            if let Some(service) = text.services.get(&endpoint.record.service) {
+            if let Some(service) = configuration.services.get(&endpoint.record.service) {
                 endpoint.window.configure(service.window.0);
             }
         }
-        self.text = Some(text);
+        self.configuration = Some(configuration);
         self.admit_all_waiting(now);
     }
 
     /// Replaces the table of endpoints by a new host list.
     pub(crate) fn replace_endpoints(&mut self, now: time::Instant, records: Vec<Record>) {
-        let text = self.text.clone();
+        let configuration = self.configuration.clone();
         let freed = self.fleet.replace(records, |service| {
-            let text = text.as_ref();
-            let service = text.and_then(|text| text.services.get(service));
+            let configuration = configuration.as_ref();
+            let service =
+                configuration.and_then(|configuration| configuration.services.get(service));
             service.map_or(1, |service| service.window.0)
         });
         self.share_windows();
@@ -128,7 +134,7 @@
         let Some(flight) = self.flights.get_mut(&request) else {
             return;
         };
-        if flight.waiting.kind == text::Kind::Plain {
+        if flight.waiting.kind == configuration::Kind::Plain {
             return;
         }
         flight.received_tokens += more.0;
--- a/lib/src/report.rs
+++ b/lib/src/report.rs
@@ -4,10 +4,11 @@
 use serde::{Serialize, Serializer};
 
 use crate::{
+    configuration,
     fleet::{self, Health},
     id,
     scheduler::Scheduler,
-    size, text, time,
+    size, time,
 };
 
 /// Whether an endpoint gets new work, and the reason if not.
@@ -95,13 +96,13 @@
     /// Returns every service of the configuration, ordered by name.
     #[must_use]
     pub fn services(&self, now: time::Instant) -> Vec<Service> {
-        let Some(text) = &self.text else {
+        let Some(configuration) = &self.configuration else {
             return Vec::new();
         };
         let mut services = Vec::new();
-        for name in text.services.keys() {
+        for name in configuration.services.keys() {
             let mut missing = Vec::new();
-            for needed in text::graph::closure(&text.services, name) {
+            for needed in configuration::graph::closure(&configuration.services, name) {
                 if self.open_endpoints(now, &needed) == 0 {
                     missing.push(needed);
                 }
--- a/lib/src/scheduler.rs
+++ b/lib/src/scheduler.rs
@@ -8,6 +8,7 @@
     affinity,
     backlog::Backlog,
     balance::{Context, Policy},
+    configuration,
     effect::Effect,
     event::Event,
     fleet::{Fleet, Slot},
@@ -15,7 +16,7 @@
     id,
     isolation::Isolation,
     quarantine::Marks,
-    text, time,
+    time,
 };
 
 /// Properties of the node that a core decides for.
@@ -47,7 +48,7 @@
 #[derive(Debug)]
 pub struct Scheduler {
     pub(crate) settings: Settings,
-    pub(crate) text: Option<Arc<text::Text>>,
+    pub(crate) configuration: Option<Arc<configuration::Configuration>>,
     pub(crate) fleet: Fleet,
     pub(crate) backlogs: BTreeMap<id::Service, Backlog>,
     pub(crate) waiting: BTreeMap<id::Request, Waiting>,
@@ -70,7 +71,7 @@
         let rng = SmallRng::seed_from_u64(settings.seed);
         Self {
             settings,
-            text: None,
+            configuration: None,
             fleet: Fleet::default(),
             backlogs: BTreeMap::new(),
             waiting: BTreeMap::new(),
@@ -96,7 +97,7 @@
     /// overload while a lower tier waits for the same service.
     pub fn handle(&mut self, now: time::Instant, event: Event) -> Vec<Effect> {
         match event {
-            Event::Configured(text) => self.configure(now, text),
+            Event::Configured(configuration) => self.configure(now, configuration),
             Event::Listed(records) => self.replace_endpoints(now, records),
             Event::Reported(endpoint, load) => self.record_load(now, &endpoint, load),
             Event::Cached(endpoint, cache) => self.record_cache_change(&endpoint, &cache),
--- a/lib/tests/support/mod.rs
+++ b/lib/tests/support/mod.rs
@@ -9,6 +9,7 @@
 
 use dottereltally_lib::{
     balance::Policy,
+    configuration::{Configuration, Kind, Service, Workspace},
     effect::Effect,
     endpoint::{Load, Record, Standing},
     event::Event,
@@ -16,7 +17,6 @@
     request::Profile,
     scheduler::{Scheduler, Settings},
     size::Tokens,
-    text::{Kind, Service, Text, Workspace},
     time::Instant,
 };
 
@@ -27,7 +27,7 @@
 
 /// Returns a configuration with a model service `llm`, a plain service `app` and
 /// five workspaces.
-pub fn text(window: u64) -> Arc<Text> {
+pub fn configuration(window: u64) -> Arc<Configuration> {
     let service = |kind, window| Service {
         kind,
         depends_on: BTreeSet::new(),
@@ -44,7 +44,7 @@
         };
         workspaces.insert(id::Workspace::from(format!("w{number}")), workspace);
     }
-    Arc::new(Text {
+    Arc::new(Configuration {
         tiers: ["gate", "chat", "plan", "tag"].map(String::from).to_vec(),
         services: BTreeMap::from([
             (id::Service::from("llm"), service(Kind::Model, window)),
@@ -94,8 +94,8 @@
     }
 }
 
-/// Returns a core with the configuration of [`text`] and this many endpoints of
-/// `llm`, named `e0`, `e1` and so on.
+/// Returns a core with the configuration of [`configuration`] and this many
+/// endpoints of `llm`, named `e0`, `e1` and so on.
 pub fn core(policy: Policy, window: u64, endpoints: usize) -> Scheduler {
     let mut core = Scheduler::new(Settings {
         node: "n0".into(),
@@ -103,7 +103,7 @@
         seed: 1,
         policy,
     });
-    core.handle(at(0), Event::Configured(text(window)));
+    core.handle(at(0), Event::Configured(configuration(window)));
     let mut records = Vec::new();
     for number in 0..endpoints {
         records.push(record(&format!("e{number}"), "llm"));
--- a/lib/tests/test_text.rs
+++ b/lib/tests/test_configuration.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use dottereltally_lib::{
+    configuration::{Configuration, Kind, document},
     difference, id,
-    text::{Kind, Text, wire},
 };
 use rstest::rstest;
 
@@ -25,20 +25,20 @@
 
 /// Returns the errors of a document, which must not be accepted.
 fn errors_of(document: &str) -> Vec<String> {
-    match wire::parse(document) {
-        Ok(text) => panic!("accepted: {text:?}"),
+    match document::parse(document) {
+        Ok(configuration) => panic!("accepted: {configuration:?}"),
         Err(list) => list.0.iter().map(ToString::to_string).collect(),
     }
 }
 
 #[test]
 fn a_valid_document_is_parsed() {
-    let text: Text = SAMPLE.parse().unwrap();
-    assert_eq!(text.tier("tag"), Some(id::Tier(1)));
-    let service = &text.services[&id::Service::from("tally-llm")];
+    let configuration: Configuration = SAMPLE.parse().unwrap();
+    assert_eq!(configuration.tier("tag"), Some(id::Tier(1)));
+    let service = &configuration.services[&id::Service::from("tally-llm")];
     assert_eq!(service.kind, Kind::Model);
     assert_eq!(service.window.0, 40_000);
-    let pay = &text.calls[&id::Call::from("pay")];
+    let pay = &configuration.calls[&id::Call::from("pay")];
     assert!(!pay.idempotent);
     assert!(!pay.unkeyed);
     assert_eq!(pay.deadline, Duration::from_secs(10));
@@ -56,9 +56,9 @@
     #[case] model: Option<&str>,
     #[case] expected: Option<&str>,
 ) {
-    let text = wire::parse(SAMPLE).unwrap();
+    let configuration = document::parse(SAMPLE).unwrap();
     let model = model.map(id::Model::from);
-    let call = text.call(method, path, model.as_ref());
+    let call = configuration.match_call(method, path, model.as_ref());
     assert_eq!(call.map(|(name, _)| name.as_str()), expected);
 }
 
@@ -159,7 +159,7 @@
 
 #[test]
 fn an_empty_document_reports_each_missing_section_once() {
-    let paths: Vec<String> = wire::parse("")
+    let paths: Vec<String> = document::parse("")
         .unwrap_err()
         .0
         .into_iter()
@@ -180,7 +180,7 @@
 
 #[test]
 fn a_document_over_the_maximum_size_is_rejected() {
-    let document = format!("{SAMPLE}# {}", "x".repeat(wire::MAX_DOCUMENT_BYTES));
+    let document = format!("{SAMPLE}# {}", "x".repeat(document::MAX_DOCUMENT_BYTES));
     assert_eq!(errors_of(&document).len(), 1);
 }
 
--- a/lib/tests/test_report.rs
+++ b/lib/tests/test_report.rs
@@ -13,7 +13,7 @@
     scheduler::Scheduler,
 };
 
-use support::{arrive, at, core, profile, text};
+use support::{arrive, at, configuration, core, profile};
 
 fn states(core: &Scheduler, now: u64) -> Vec<State> {
     let endpoints = core.endpoints(at(now));
@@ -51,7 +51,7 @@
 #[test]
 fn service_lists_dependencies_without_endpoint() {
     let mut core = core(Policy::TwoChoices, 1000, 1);
-    let mut depending = Arc::unwrap_or_clone(text(1000));
+    let mut depending = Arc::unwrap_or_clone(configuration(1000));
     let service = depending.services.get_mut(&id::Service::from("llm"));
     let service = service.expect("the configuration has the service");
     service.depends_on.insert("app".into());
--- a/lib/tests/test_runs.rs
+++ b/lib/tests/test_runs.rs
@@ -22,7 +22,7 @@
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use rstest::rstest;
-use support::{at, load, profile, record, text};
+use support::{at, configuration, load, profile, record};
 
 /// Number of events in one run.
 const EVENTS: u64 = 4000;
@@ -243,7 +243,7 @@
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)] seed: u64,
 ) {
     let mut run = Run::new(seed);
-    run.handle(Event::Configured(text(4000)));
+    run.handle(Event::Configured(configuration(4000)));
     run.list();
     for number in 0..EVENTS {
         run.step(number);
--- a/node/src/classify.rs
+++ b/node/src/classify.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use bytes::Bytes;
-use dottereltally_lib::{id, prefix, request::Profile, size::Tokens, text, time};
+use dottereltally_lib::{configuration, id, prefix, request::Profile, size::Tokens, time};
 use http::{HeaderMap, Method, StatusCode, Uri, request::Parts};
 use xxhash_rust::xxh3::Xxh3;
 
@@ -30,7 +30,7 @@
 /// Calls that match a request's method and path, regardless of its model.
 #[derive(Debug)]
 pub struct Candidates<'a> {
-    calls: Vec<&'a text::Call>,
+    calls: Vec<&'a configuration::Call>,
 }
 
 /// The classification of a request.
@@ -39,7 +39,7 @@
     /// Properties of the request that the decision core uses.
     pub profile: Arc<Profile>,
     /// Kind of the service that serves the call.
-    pub kind: text::Kind,
+    pub kind: configuration::Kind,
     /// Whether a non-idempotent call is accepted without an idempotency key.
     pub unkeyed: bool,
     /// Extra time to wait for the first byte of a response that is not
@@ -65,7 +65,7 @@
     }
     let mut calls = Vec::new();
     let mut path_known = false;
-    for call in rules.text.calls.values() {
+    for call in rules.configuration.calls.values() {
         let any_model = call.model.as_ref();
         path_known |= call.matches(&call.method, uri.path(), any_model);
         if call.matches(method.as_str(), uri.path(), any_model) {
@@ -112,15 +112,15 @@
         let model = prompt.as_ref().and_then(|prompt| prompt.model.as_deref());
         let model_id = model.map(id::Model::from);
         let (name, call) = rules
-            .text
-            .call(parts.method.as_str(), parts.uri.path(), model_id.as_ref())
+            .configuration
+            .match_call(parts.method.as_str(), parts.uri.path(), model_id.as_ref())
             .ok_or_else(|| unknown_model(model))?;
-        let service = &rules.text.services[&call.service];
+        let service = &rules.configuration.services[&call.service];
         check_model(service, model_id.as_ref())?;
-        let tier = tier(&rules.text, call.tier, &parts.headers)?;
+        let tier = tier(&rules.configuration, call.tier, &parts.headers)?;
         let deadline = deadline(call.deadline, &parts.headers)?;
         let (tokens, output, prefixes) = match (service.kind, &prompt) {
-            (text::Kind::Model, Some(prompt)) => estimate(prompt),
+            (configuration::Kind::Model, Some(prompt)) => estimate(prompt),
             _ => (Tokens(1), Tokens(0), Vec::new()),
         };
         let streamed = prompt.as_ref().is_some_and(|prompt| prompt.stream);
@@ -150,9 +150,9 @@
     /// Parses the body as a prompt if any candidate names a model or is served
     /// by model engines.
     fn parse_prompt(&self, rules: &Rules, body: &Bytes) -> Result<Option<Prompt>, Problem> {
-        let is_model = |call: &text::Call| {
-            let service = rules.text.services.get(&call.service);
-            service.is_some_and(|service| service.kind == text::Kind::Model)
+        let is_model = |call: &configuration::Call| {
+            let service = rules.configuration.services.get(&call.service);
+            service.is_some_and(|service| service.kind == configuration::Kind::Model)
         };
         let needs_prompt = self
             .calls
@@ -192,7 +192,7 @@
     false
 }
 
-fn check_model(service: &text::Service, model: Option<&id::Model>) -> Result<(), Problem> {
+fn check_model(service: &configuration::Service, model: Option<&id::Model>) -> Result<(), Problem> {
     let Some(model) = model else {
         return Ok(());
     };
@@ -221,11 +221,18 @@
 
 /// Returns the configured tier of the call, or the lower tier that the caller
 /// requests.
-fn tier(text: &text::Text, configured: id::Tier, headers: &HeaderMap) -> Result<id::Tier, Problem> {
+fn tier(
+    configuration: &configuration::Configuration,
+    configured: id::Tier,
+    headers: &HeaderMap,
+) -> Result<id::Tier, Problem> {
     let Some(value) = headers.get(TIER_HEADER) else {
         return Ok(configured);
     };
-    let requested = value.to_str().ok().and_then(|name| text.tier(name));
+    let requested = value
+        .to_str()
+        .ok()
+        .and_then(|name| configuration.tier(name));
     match requested {
         Some(requested) if requested >= configured => Ok(requested),
         Some(_) => Err(malformed(format!(
@@ -233,7 +240,7 @@
         ))),
         None => Err(malformed(format!(
             "`{TIER_HEADER}` does not name a tier; use one of: {}",
-            text.tiers.join(", ")
+            configuration.tiers.join(", ")
         ))),
     }
 }
--- a/node/src/configuration.rs
+++ b/node/src/configuration.rs
@@ -11,7 +11,7 @@
 
 use std::sync::Arc;
 
-use dottereltally_lib::{id, text};
+use dottereltally_lib::{configuration, id};
 use dottereltally_store::layout;
 use tokio::sync::watch;
 
@@ -24,7 +24,7 @@
     /// The stored record.
     pub record: layout::Configuration,
     /// The record's text, parsed and validated.
-    pub text: Arc<text::Text>,
+    pub configuration: Arc<configuration::Configuration>,
 }
 
 /// Reads the configuration in force, none until one is known, and waits for
--- a/node/src/configuration/controller.rs
+++ b/node/src/configuration/controller.rs
@@ -2,7 +2,7 @@
 
 use std::{marker::PhantomData, sync::Arc};
 
-use dottereltally_lib::{id, text::Text};
+use dottereltally_lib::{configuration, id};
 use dottereltally_store::{kv, layout};
 use ractor::{Actor, ActorProcessingErr, ActorRef, SpawnErr};
 use tokio::task::{self, JoinHandle, JoinSet};
@@ -102,10 +102,11 @@
             return;
         }
         let document = record.text.clone();
-        let parsed = task::spawn_blocking(move || document.parse::<Text>()).await;
+        let parsed =
+            task::spawn_blocking(move || document.parse::<configuration::Configuration>()).await;
         let faults = match parsed {
-            Ok(Ok(text)) => {
-                self.publish(record, text);
+            Ok(Ok(configuration)) => {
+                self.publish(record, configuration);
                 return;
             }
             Ok(Err(faults)) => faults.to_string(),
@@ -121,7 +122,7 @@
         self.last_invalid = record.token;
     }
 
-    fn publish(&self, record: layout::Configuration, text: Text) {
+    fn publish(&self, record: layout::Configuration, configuration: configuration::Configuration) {
         let generation = record.generation;
         tracing::info!(%generation, author = record.author, "configuration in force");
         let id::Generation(number) = generation;
@@ -131,7 +132,7 @@
             .set(i64::try_from(number).unwrap_or(i64::MAX));
         self.handle.publish(Current {
             record,
-            text: Arc::new(text),
+            configuration: Arc::new(configuration),
         });
     }
 }
--- a/node/src/controllers.rs
+++ b/node/src/controllers.rs
@@ -173,7 +173,7 @@
     loop {
         let current = rules.borrow_and_update().clone();
         if let Some(current) = current {
-            dispatcher.tell(Event::Configured(Arc::clone(&current.text)));
+            dispatcher.tell(Event::Configured(Arc::clone(&current.configuration)));
         }
         if rules.changed().await.is_err() {
             return;
--- a/node/src/filter.rs
+++ b/node/src/filter.rs
@@ -13,9 +13,8 @@
 
 use bytes::{Bytes, BytesMut};
 use dottereltally_lib::{
-    id,
+    configuration, id,
     request::{Received, Request},
-    text,
 };
 use http::{HeaderValue, Response, StatusCode, header::HeaderMap, request::Parts};
 use http_body_util::BodyExt;
@@ -153,7 +152,7 @@
             }
         };
         let body = self.read_body(body).await.map_err(run_unknown)?;
-        let limit = rules.text.workspaces.get(&workspace);
+        let limit = rules.configuration.workspaces.get(&workspace);
         let limit = limit.and_then(|workspace| workspace.limit);
         let class = candidates
             .classify(&rules, workspace, &parts, &body, received)
@@ -200,7 +199,7 @@
             let claimed = request.claim();
             let running = dispatch::run(&self, claimed, Unclaimed, message, &context).await;
             let (running, _) = running.map_err(|error| refuse(problem(error)))?;
-            if class.kind == text::Kind::Plain || is_streamed(&running.response) {
+            if class.kind == configuration::Kind::Plain || is_streamed(&running.response) {
                 return Ok(answer::forward(running, id));
             }
             let buffered = answer::buffer(running, self.limits.body, id).await;
--- a/node/src/rules.rs
+++ b/node/src/rules.rs
@@ -5,7 +5,10 @@
     sync::Arc,
 };
 
-use dottereltally_lib::{id, text};
+use dottereltally_lib::{
+    configuration::{Configuration, Workspace},
+    id,
+};
 use sha2::{Digest, Sha256};
 use tokio::sync::watch;
 
@@ -20,7 +23,7 @@
     /// Generation of the configuration.
     pub generation: id::Generation,
     /// The configuration itself.
-    pub text: Arc<text::Text>,
+    pub configuration: Arc<Configuration>,
     workspaces: HashMap<KeyDigest, id::Workspace>,
 }
 
@@ -30,11 +33,11 @@
 impl Rules {
     /// Builds the rules from a validated configuration.
     #[must_use]
-    pub fn new(generation: id::Generation, text: Arc<text::Text>) -> Self {
-        let workspaces = index_keys(&text.workspaces);
+    pub fn new(generation: id::Generation, configuration: Arc<Configuration>) -> Self {
+        let workspaces = index_keys(&configuration.workspaces);
         Self {
             generation,
-            text,
+            configuration,
             workspaces,
         }
     }
@@ -68,17 +71,17 @@
 }
 
 fn current(configuration: &configuration::Receiver) -> Option<Arc<Rules>> {
-    let configuration = configuration.borrow().clone()?;
+    let current = configuration.borrow().clone()?;
     let rules = Rules::new(
-        configuration.record.generation,
-        Arc::clone(&configuration.text),
+        current.record.generation,
+        Arc::clone(&current.configuration),
     );
     Some(Arc::new(rules))
 }
 
 /// Maps the digests of all keys to their workspaces.
 fn index_keys(
-    workspaces: &BTreeMap<id::Workspace, text::Workspace>,
+    workspaces: &BTreeMap<id::Workspace, Workspace>,
 ) -> HashMap<KeyDigest, id::Workspace> {
     let mut index = HashMap::new();
     for (name, workspace) in workspaces {
--- a/node/tests/chain/mod.rs
+++ b/node/tests/chain/mod.rs
@@ -29,10 +29,10 @@
     upstream::{Broken, Client, Failure, Message, Reuse},
 };
 use dottereltally_lib::{
+    configuration::Configuration,
     event::{Event, Message as Admission, Outcome},
     id, refusal,
     request::{Admitted, Claimed, Request},
-    text::Text,
 };
 use dottereltally_store::{layout, memory::Store};
 use http::{Response, StatusCode, header::CONTENT_TYPE};
@@ -350,16 +350,16 @@
 }
 
 /// Returns the configuration of the tests.
-pub fn text() -> Text {
+pub fn configuration() -> Configuration {
     let small = dottereltally_testutils::deployment::hash(SMALL_KEY);
     let text = TEXT.replace("sha256:SMALL", &small);
-    text.parse().expect("a valid text")
+    text.parse().expect("a valid configuration")
 }
 
 impl Harness {
     /// Builds a chain with scripted decisions and endpoints.
     pub fn new(decisions: Vec<Decision>, scripts: Vec<Script>) -> Self {
-        let rules = Rules::new(id::Generation(1), Arc::new(text()));
+        let rules = Rules::new(id::Generation(1), Arc::new(configuration()));
         Self::with_rules(Some(rules), decisions, scripts)
     }
 
--- a/node/tests/test_dispatcher.rs
+++ b/node/tests/test_dispatcher.rs
@@ -69,11 +69,11 @@
             .await
             .expect("the actor starts");
         let sender = Sender::new(actor, clock);
-        let mut text = chain::text();
-        for service in text.services.values_mut() {
+        let mut configuration = chain::configuration();
+        for service in configuration.services.values_mut() {
             service.window = Tokens(1);
         }
-        sender.tell(Event::Configured(Arc::new(text)));
+        sender.tell(Event::Configured(Arc::new(configuration)));
         sender.tell(Event::Members(vec![(
             id::Node::from("entry-1"),
             id::DataCentre::from("plovdiv"),
--- a/node/tests/test_path_random.rs
+++ b/node/tests/test_path_random.rs
@@ -28,12 +28,12 @@
     settings::Limits,
 };
 use dottereltally_lib::{
+    configuration::Kind,
     endpoint::{Record, Standing},
     event::{self, Event},
     id,
     scheduler::{Scheduler, Settings},
     size::Tokens,
-    text::Kind,
 };
 use dottereltally_store::memory::{Fault, Store};
 use faulty::{Endpoints, History};
@@ -91,14 +91,14 @@
         .await
         .expect("the actor starts");
     let sender = Sender::new(actor, clock);
-    let mut text = chain::text();
-    for service in text.services.values_mut() {
+    let mut configuration = chain::configuration();
+    for service in configuration.services.values_mut() {
         service.window = Tokens(match service.kind {
             Kind::Model => 30,
             Kind::Plain => 1,
         });
     }
-    sender.tell(Event::Configured(Arc::new(text)));
+    sender.tell(Event::Configured(Arc::new(configuration)));
     sender.tell(Event::Members(vec![(
         id::Node::from("entry-1"),
         id::DataCentre::from("plovdiv"),
@@ -145,7 +145,7 @@
     );
     let metrics = Metrics::default();
     metrics.register(registry);
-    let rules = Rules::new(id::Generation(1), Arc::new(chain::text()));
+    let rules = Rules::new(id::Generation(1), Arc::new(chain::configuration()));
     Arc::new(Chain {
         node,
         limits: Limits::default(),
--- a/testutils/tests/test_samples.rs
+++ b/testutils/tests/test_samples.rs
@@ -1,6 +1,6 @@
 //! Tests that the sample configurations are valid.
 
-use dottereltally_lib::text::wire;
+use dottereltally_lib::configuration::document;
 use dottereltally_testutils::deployment;
 use rstest::rstest;
 
@@ -9,9 +9,9 @@
 #[case(include_str!("../../examples/bulu-mata.yaml"), 5)]
 #[case(include_str!("../../examples/demo.yaml"), 1)]
 fn samples_are_valid(#[case] document: &str, #[case] workspaces: usize) {
-    let text = wire::parse(document).expect("a valid configuration");
-    assert_eq!(text.workspaces.len(), workspaces);
-    for name in text.workspaces.keys() {
+    let configuration = document::parse(document).expect("a valid configuration");
+    assert_eq!(configuration.workspaces.len(), workspaces);
+    for name in configuration.workspaces.keys() {
         let key = deployment::hash(&format!("{name}-key"));
         assert!(document.contains(&key), "{name}: {key}");
     }
