--- a/cli/src/command/diff.rs
+++ b/cli/src/command/diff.rs
@@ -1,7 +1,7 @@
 //! `diff`: compares a file with the configuration in force.
 
 use argh::FromArgs;
-use dottereltally_lib::{configuration::Configuration, difference};
+use dottereltally_lib::{configuration::Configuration, diff};
 use dottereltally_store::proposal;
 use serde_json::json;
 
@@ -27,7 +27,7 @@
             printer.print(text, &json!({"generation": null, "changes": []}))?;
             return Ok(Code::Done);
         };
-        let changes = difference::lines(&current.text, &document.content)?;
+        let changes = diff::lines(&current.text, &document.content)?;
         let text = if changes.is_empty() {
             format!("no difference from generation {}", current.generation)
         } else {
--- a/lib/src/configuration/services.rs
+++ b/lib/src/configuration/services.rs
@@ -76,7 +76,7 @@
         "model" => Some(Kind::Model),
         "plain" => Some(Kind::Plain),
         other => {
-            let message = format!("`{other}` is no kind; use `model` or `plain`");
+            let message = format!("`{other}` is not a kind; use `model` or `plain`");
             reader.report(
                 fields.line_of("kind"),
                 format!("{}.kind", fields.path()),
--- a/lib/src/fields.rs
+++ b/lib/src/fields.rs
@@ -264,7 +264,7 @@
             return Some(duration);
         }
         let message = format!(
-            "`{text}` is no usable duration; write one from {} to {}, such as `10s`",
+            "`{text}` is not a valid duration; write one from {} to {}, such as `10s`",
             humantime::format_duration(min),
             humantime::format_duration(max),
         );
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod budget;
 pub mod configuration;
 pub mod crash;
-pub mod difference;
+pub mod diff;
 pub mod dispatcher;
 pub mod effect;
 pub mod endpoint;
--- a/lib/tests/test_configuration.rs
+++ b/lib/tests/test_configuration.rs
@@ -5,7 +5,7 @@
 
 use dottereltally_lib::{
     configuration::{Configuration, Kind, document},
-    difference, id,
+    diff, id,
 };
 use rstest::rstest;
 
@@ -71,7 +71,7 @@
 #[case(
     "kind: plain",
     "kind: plian",
-    "line 5: services.yard-app.kind: `plian` is no kind; use `model` or `plain`"
+    "line 5: services.yard-app.kind: `plian` is not a kind; use `model` or `plain`"
 )]
 #[case(
     "kind: plain",
@@ -91,7 +91,7 @@
 #[case(
     "deadline: 10s",
     "deadline: 2h",
-    "line 9: calls.pay.deadline: `2h` is no usable duration; write one from 1ms to 1h, such as `10s`"
+    "line 9: calls.pay.deadline: `2h` is not a valid duration; write one from 1ms to 1h, such as `10s`"
 )]
 #[case(
     "path: /payments",
@@ -192,7 +192,7 @@
         .replace(", limit: 200", "")
         .replace("kind: plain", "kind: plain, window: 3");
     assert_eq!(
-        difference::lines(SAMPLE, &new).unwrap(),
+        diff::lines(SAMPLE, &new).unwrap(),
         [
             "~ calls.pay.deadline: 10s -> 12s",
             "+ services.yard-app.window: 3",
--- a/store/src/proposal.rs
+++ b/store/src/proposal.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use dottereltally_lib::{difference, id};
+use dottereltally_lib::{diff, id};
 use tokio::time;
 
 use crate::{
@@ -189,7 +189,7 @@
         if old.is_empty() {
             return Ok(vec!["+ first configuration".to_owned()]);
         }
-        Ok(difference::lines(old, &self.text)?)
+        Ok(diff::lines(old, &self.text)?)
     }
 
     fn transaction(
