--- a/lib/src/window.rs
+++ b/lib/src/window.rs
@@ -21,7 +21,8 @@
 /// chosen, so that a slow endpoint gets work again and its recovery is noticed.
 const SPEED_TTL: Duration = Duration::from_secs(10);
 
-/// Fraction of [`FIRST_TOKEN_TARGET`] that queueing inside the endpoint may take.
+/// Fraction of [`FIRST_TOKEN_TARGET`] that queueing inside the endpoint may
+/// take.
 const MAX_QUEUEING_FRACTION: f64 = 0.5;
 
 /// Fraction of the best speed below which the window decreases.
