--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -7,8 +7,8 @@
 //! state machine performs no I/O: the caller passes in the time and the
 //! received messages, and carries out the returned effects.
 
-pub mod beat;
 mod gossip;
+pub mod heartbeat;
 mod merge;
 mod selection;
 mod table;
@@ -23,8 +23,8 @@
 use crate::{
     endpoint, id,
     membership::{
-        beat::{Beat, Member, State},
         gossip::{Queue, Update},
+        heartbeat::{Heartbeat, Member, State},
         table::Table,
     },
     time::Instant,
@@ -43,10 +43,10 @@
     pub period: Duration,
     /// Random live peers contacted per round.
     pub fan_out: usize,
-    /// Suspicion timeout before `suspicion_step` is added.
-    pub suspicion: Duration,
+    /// Suspicion timeout before `suspicion_timeout_step` is added.
+    pub suspicion_timeout: Duration,
     /// Added to the suspicion timeout per doubling of the number of nodes.
-    pub suspicion_step: Duration,
+    pub suspicion_timeout_step: Duration,
     /// Time that the record of a node that is not live is kept.
     pub retention: Duration,
     /// Maximum number of queued updates per heartbeat.
@@ -65,8 +65,8 @@
         Self {
             period: Duration::from_millis(500),
             fan_out: 2,
-            suspicion: Duration::from_millis(800),
-            suspicion_step: Duration::from_millis(400),
+            suspicion_timeout: Duration::from_millis(800),
+            suspicion_timeout_step: Duration::from_millis(400),
             retention: Duration::from_mins(10),
             max_updates: 64,
             reconnect_rounds: 8,
@@ -91,22 +91,23 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Send a heartbeat to a node and report its answer with
-    /// [`Membership::answered`] or a failure with [`Membership::failed`].
+    /// [`Membership::handle_answer`] or a failure with
+    /// [`Membership::handle_failure`].
     Exchange {
         /// The target node.
         node: id::Node,
         /// Its peer address.
         address: String,
         /// The heartbeat to send.
-        beat: Beat,
+        heartbeat: Heartbeat,
     },
     /// The set of live nodes has changed to these, the local node included.
     Members(Vec<Member>),
     /// A peer sent fingerprints of crashing requests, each with its remaining
     /// validity.
-    Suspected(Vec<(id::Fingerprint, Duration)>),
+    Fingerprints(Vec<(id::Fingerprint, Duration)>),
     /// This peer has a higher configuration generation in force.
-    Outdated(id::Node, id::Generation),
+    NewerGeneration(id::Node, id::Generation),
 }
 
 /// Membership state machine of one node.
@@ -161,7 +162,7 @@
     }
 
     /// Replaces the host list.
-    pub fn listed(&mut self, hosts: Vec<Host>) -> Vec<Effect> {
+    pub fn set_hosts(&mut self, hosts: Vec<Host>) -> Vec<Effect> {
         self.hosts.clear();
         for host in hosts {
             self.hosts.insert(host.node.clone(), host);
@@ -177,7 +178,12 @@
 
     /// Gossips the fingerprint of a crashing request, which stays valid for the
     /// given time.
-    pub fn quarantine(&mut self, now: Instant, fingerprint: id::Fingerprint, valid: Duration) {
+    pub fn gossip_fingerprint(
+        &mut self,
+        now: Instant,
+        fingerprint: id::Fingerprint,
+        valid: Duration,
+    ) {
         self.fingerprints.insert(fingerprint, now + valid);
         self.gossip.push(Update::Fingerprint(fingerprint));
     }
@@ -189,11 +195,11 @@
             self.local.version += 1;
             self.members_changed = true;
         }
-        self.spread(now)
+        self.gossip_now(now)
     }
 
     /// Sends queued updates now instead of waiting for the next round.
-    pub fn spread(&mut self, now: Instant) -> Vec<Effect> {
+    pub fn gossip_now(&mut self, now: Instant) -> Vec<Effect> {
         let mut effects = Vec::new();
         for (node, address) in self.choose_live(2 * self.settings.fan_out) {
             effects.push(self.exchange(now, node, address, false));
@@ -227,29 +233,33 @@
     }
 
     /// Handles a heartbeat that a peer sent and returns the answer to it.
-    pub fn request(&mut self, now: Instant, beat: &Beat) -> (Beat, Vec<Effect>) {
-        let known = self.is_live(&beat.sender.node);
+    pub fn handle_request(
+        &mut self,
+        now: Instant,
+        heartbeat: &Heartbeat,
+    ) -> (Heartbeat, Vec<Effect>) {
+        let known = self.is_live(&heartbeat.sender.node);
         let mut effects = Vec::new();
-        self.merge_beat(now, beat, &mut effects);
-        let diverged = beat.digest != self.table.digest(&self.local)
+        self.merge_heartbeat(now, heartbeat, &mut effects);
+        let diverged = heartbeat.digest != self.table.digest(&self.local)
             && self.gossip.is_empty()
             && now.since(self.last_resync) >= self.settings.min_resync_interval;
-        let full_state = beat.whole || !known || diverged;
-        let answer = self.build_beat(now, &beat.sender.node, full_state);
+        let full_state = heartbeat.full_state || !known || diverged;
+        let answer = self.build_heartbeat(now, &heartbeat.sender.node, full_state);
         (answer, self.with_members(effects))
     }
 
     /// Handles a peer's answer to a heartbeat of this node.
-    pub fn answered(&mut self, now: Instant, beat: &Beat) -> Vec<Effect> {
-        self.pending.remove(&beat.sender.node);
+    pub fn handle_answer(&mut self, now: Instant, heartbeat: &Heartbeat) -> Vec<Effect> {
+        self.pending.remove(&heartbeat.sender.node);
         let mut effects = Vec::new();
-        self.merge_beat(now, beat, &mut effects);
+        self.merge_heartbeat(now, heartbeat, &mut effects);
         self.with_members(effects)
     }
 
     /// Handles an exchange in which the peer did not answer: the peer becomes a
     /// suspect.
-    pub fn failed(&mut self, now: Instant, node: &id::Node) -> Vec<Effect> {
+    pub fn handle_failure(&mut self, now: Instant, node: &id::Node) -> Vec<Effect> {
         if self.pending.remove(node).is_none() {
             return Vec::new();
         }
@@ -336,7 +346,8 @@
 
     fn expire(&mut self, now: Instant) {
         let doublings = gossip::doublings(self.table.len());
-        let timeout = self.settings.suspicion + self.settings.suspicion_step * doublings;
+        let timeout =
+            self.settings.suspicion_timeout + self.settings.suspicion_timeout_step * doublings;
         let dropped = self.table.drop_expired_suspects(now, timeout);
         self.members_changed |= dropped > 0;
         self.table.remove_expired(now, self.settings.retention);
@@ -354,26 +365,26 @@
         address: String,
         full_state: bool,
     ) -> Effect {
-        let beat = self.build_beat(now, &node, full_state);
+        let heartbeat = self.build_heartbeat(now, &node, full_state);
         self.pending.insert(node.clone(), now);
         Effect::Exchange {
             node,
             address,
-            beat,
+            heartbeat,
         }
     }
 
     /// Builds a heartbeat for a node, with the full state or with queued updates.
-    fn build_beat(&mut self, now: Instant, to: &id::Node, full_state: bool) -> Beat {
+    fn build_heartbeat(&mut self, now: Instant, to: &id::Node, full_state: bool) -> Heartbeat {
         let nodes = self.table.len() + 1;
         let updates = self.gossip.take(self.settings.max_updates, nodes);
         let mut members = Vec::new();
-        let mut suspects = Vec::new();
+        let mut fingerprints = Vec::new();
         for update in updates {
             match update {
                 Update::Member(node) => members.extend(self.member_update(&node, to, full_state)),
                 Update::Fingerprint(fingerprint) if !full_state => {
-                    suspects.extend(self.fingerprint_update(now, fingerprint));
+                    fingerprints.extend(self.fingerprint_update(now, fingerprint));
                 }
                 Update::Fingerprint(_) => {}
             }
@@ -384,7 +395,7 @@
                 members.push(record.member.clone());
             }
             for fingerprint in self.fingerprints.keys() {
-                suspects.extend(self.fingerprint_update(now, *fingerprint));
+                fingerprints.extend(self.fingerprint_update(now, *fingerprint));
             }
         } else if let Some(record) = self.table.get(to)
             && record.member.state != State::Alive
@@ -392,13 +403,13 @@
             members.push(record.member.clone());
         }
         members.extend(self.disputed.remove(to));
-        Beat {
+        Heartbeat {
             sender: self.local.clone(),
             generation: self.generation,
             digest: self.table.digest(&self.local),
-            whole: full_state,
+            full_state,
             members,
-            suspects,
+            fingerprints,
         }
     }
 
--- a/lib/src/membership/beat.rs
+++ b/lib/src/membership/heartbeat.rs
@@ -64,7 +64,7 @@
 
 /// A heartbeat: the request or the answer of an exchange.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The sender.
     pub sender: Member,
     /// Configuration generation that the sender has in force.
@@ -73,9 +73,9 @@
     /// receiver that computes another value may answer with its full state.
     pub digest: u64,
     /// Whether `members` is the full state of the sender.
-    pub whole: bool,
+    pub full_state: bool,
     /// Updates about other nodes.
     pub members: Vec<Member>,
     /// Fingerprints of crashing requests, with their remaining validity.
-    pub suspects: Vec<(id::Fingerprint, Duration)>,
+    pub fingerprints: Vec<(id::Fingerprint, Duration)>,
 }
--- a/lib/src/membership/merge.rs
+++ b/lib/src/membership/merge.rs
@@ -8,8 +8,8 @@
     id,
     membership::{
         Effect, Membership,
-        beat::{Beat, Member, State},
         gossip::Update,
+        heartbeat::{Heartbeat, Member, State},
     },
     time::Instant,
 };
@@ -20,31 +20,39 @@
 
 impl Membership {
     /// Merges a heartbeat: members, generation and fingerprints.
-    pub(super) fn merge_beat(&mut self, now: Instant, beat: &Beat, effects: &mut Vec<Effect>) {
-        self.merge(now, &beat.sender);
-        for member in &beat.members {
+    pub(super) fn merge_heartbeat(
+        &mut self,
+        now: Instant,
+        heartbeat: &Heartbeat,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.merge(now, &heartbeat.sender);
+        for member in &heartbeat.members {
             self.merge(now, member);
         }
-        if beat.whole {
+        if heartbeat.full_state {
             self.last_resync = now;
-            self.queue_corrections(beat);
+            self.queue_corrections(heartbeat);
         }
-        if beat.generation > self.generation {
-            effects.push(Effect::Outdated(beat.sender.node.clone(), beat.generation));
+        if heartbeat.generation > self.generation {
+            effects.push(Effect::NewerGeneration(
+                heartbeat.sender.node.clone(),
+                heartbeat.generation,
+            ));
         }
-        let accepted = self.merge_fingerprints(now, &beat.suspects);
+        let accepted = self.merge_fingerprints(now, &heartbeat.fingerprints);
         if !accepted.is_empty() {
-            effects.push(Effect::Suspected(accepted));
+            effects.push(Effect::Fingerprints(accepted));
         }
     }
 
     /// Queues every record that is missing or outdated in the full state of a peer.
-    fn queue_corrections(&mut self, beat: &Beat) {
+    fn queue_corrections(&mut self, heartbeat: &Heartbeat) {
         let mut sent = BTreeMap::new();
-        for member in &beat.members {
+        for member in &heartbeat.members {
             sent.insert(&member.node, member);
         }
-        sent.insert(&beat.sender.node, &beat.sender);
+        sent.insert(&heartbeat.sender.node, &heartbeat.sender);
         for record in self.table.records() {
             let node = &record.member.node;
             if sent
@@ -60,10 +68,10 @@
     fn merge_fingerprints(
         &mut self,
         now: Instant,
-        suspects: &[(id::Fingerprint, Duration)],
+        fingerprints: &[(id::Fingerprint, Duration)],
     ) -> Vec<(id::Fingerprint, Duration)> {
         let mut accepted = Vec::new();
-        for (fingerprint, valid) in suspects {
+        for (fingerprint, valid) in fingerprints {
             let known = match self.fingerprints.get(fingerprint) {
                 Some(until) => until.since(now),
                 None => Duration::ZERO,
@@ -71,7 +79,7 @@
             if *valid < known + MIN_VALIDITY_GAIN {
                 continue;
             }
-            self.quarantine(now, *fingerprint, *valid);
+            self.gossip_fingerprint(now, *fingerprint, *valid);
             accepted.push((*fingerprint, *valid));
         }
         accepted
--- a/lib/src/membership/table.rs
+++ b/lib/src/membership/table.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     id,
-    membership::beat::{Member, State},
+    membership::heartbeat::{Member, State},
     time::Instant,
 };
 
--- a/lib/tests/fleet/mod.rs
+++ b/lib/tests/fleet/mod.rs
@@ -17,7 +17,7 @@
     id,
     membership::{
         Effect, Host, Membership, Settings,
-        beat::{Beat, Member, State},
+        heartbeat::{Heartbeat, Member, State},
     },
     time::Instant,
 };
@@ -78,11 +78,11 @@
         exchange: u64,
         from: usize,
         from_epoch: u64,
-        beat: Beat,
+        heartbeat: Heartbeat,
     },
     Answer {
         exchange: u64,
-        beat: Beat,
+        heartbeat: Heartbeat,
     },
     Timeout {
         exchange: u64,
@@ -155,7 +155,7 @@
     /// Counters of the run.
     pub counts: Counts,
     settings: Settings,
-    beat_size: fn(&Beat) -> usize,
+    heartbeat_size: fn(&Heartbeat) -> usize,
     now: Instant,
     order: u64,
     last_exchange: u64,
@@ -180,13 +180,14 @@
         fleet
     }
 
-    /// Creates a fleet without nodes; `beat_size` returns the bytes of a heartbeat.
-    pub fn empty(settings: Settings, seed: u64, beat_size: fn(&Beat) -> usize) -> Self {
+    /// Creates a fleet without nodes; `heartbeat_size` returns the bytes of a
+    /// heartbeat.
+    pub fn empty(settings: Settings, seed: u64, heartbeat_size: fn(&Heartbeat) -> usize) -> Self {
         Self {
             network: Network::default(),
             counts: Counts::default(),
             settings,
-            beat_size,
+            heartbeat_size,
             now: Instant::default() + CLOCK_START,
             order: 0,
             last_exchange: 0,
@@ -316,7 +317,9 @@
         let now = self.now;
         if let Some(process) = &mut self.nodes[node].process {
             let fingerprint = id::Fingerprint(fingerprint);
-            process.membership.quarantine(now, fingerprint, valid);
+            process
+                .membership
+                .gossip_fingerprint(now, fingerprint, valid);
         }
     }
 
@@ -516,7 +519,7 @@
                 let mut effects = Vec::new();
                 if process.host_list_version != self.host_list_version {
                     process.host_list_version = self.host_list_version;
-                    effects = process.membership.listed(self.hosts.clone());
+                    effects = process.membership.set_hosts(self.hosts.clone());
                 }
                 effects.extend(process.membership.tick(now));
                 let delay = self.jitter();
@@ -527,24 +530,34 @@
                 exchange,
                 from,
                 from_epoch,
-                beat,
+                heartbeat,
             } => {
-                let (beat, effects) = process.membership.request(now, &beat);
-                self.counts.bytes += (self.beat_size)(&beat) as u64;
+                let (heartbeat, effects) = process.membership.handle_request(now, &heartbeat);
+                self.counts.bytes += (self.heartbeat_size)(&heartbeat) as u64;
                 if self.nodes[from].epoch == from_epoch {
-                    self.send(node, from, &Event::Answer { exchange, beat });
+                    self.send(
+                        node,
+                        from,
+                        &Event::Answer {
+                            exchange,
+                            heartbeat,
+                        },
+                    );
                 }
                 effects
             }
-            Event::Answer { exchange, beat } => {
+            Event::Answer {
+                exchange,
+                heartbeat,
+            } => {
                 process.pending.remove(&exchange);
-                process.membership.answered(now, &beat)
+                process.membership.handle_answer(now, &heartbeat)
             }
             Event::Timeout { exchange, peer } => {
                 if !process.pending.remove(&exchange) {
                     return;
                 }
-                process.membership.failed(now, &peer)
+                process.membership.handle_failure(now, &peer)
             }
             Event::Fetched(generation) => {
                 process.generation = process.generation.max(generation);
@@ -561,13 +574,13 @@
                 Effect::Exchange {
                     node: peer,
                     address,
-                    beat,
-                } => self.exchange(node, peer, &address, beat),
+                    heartbeat,
+                } => self.exchange(node, peer, &address, heartbeat),
                 Effect::Members(members) => self.record_members(node, &members),
-                Effect::Outdated(_, generation) => {
+                Effect::NewerGeneration(_, generation) => {
                     self.schedule(FETCH_DELAY, node, Event::Fetched(generation));
                 }
-                Effect::Suspected(fingerprints) => {
+                Effect::Fingerprints(fingerprints) => {
                     if let Some(process) = &mut self.nodes[node].process {
                         process.fingerprints.extend(fingerprints);
                     }
@@ -576,9 +589,9 @@
         }
     }
 
-    fn exchange(&mut self, node: usize, peer: id::Node, address: &str, beat: Beat) {
+    fn exchange(&mut self, node: usize, peer: id::Node, address: &str, heartbeat: Heartbeat) {
         self.counts.exchanges += 1;
-        self.counts.bytes += (self.beat_size)(&beat) as u64;
+        self.counts.bytes += (self.heartbeat_size)(&heartbeat) as u64;
         self.last_exchange += 1;
         let exchange = self.last_exchange;
         let from_epoch = self.nodes[node].epoch;
@@ -593,7 +606,7 @@
                 exchange,
                 from: node,
                 from_epoch,
-                beat,
+                heartbeat,
             };
             self.send(node, to, &request);
         }
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -9,7 +9,7 @@
     id,
     membership::{
         Effect, Membership, Settings,
-        beat::{Beat, Member, State},
+        heartbeat::{Heartbeat, Member, State},
     },
     time::Instant,
 };
@@ -149,14 +149,14 @@
 }
 
 /// Returns a heartbeat with updates about other nodes.
-fn beat(sender: &str, members: Vec<Member>) -> Beat {
-    Beat {
+fn heartbeat(sender: &str, members: Vec<Member>) -> Heartbeat {
+    Heartbeat {
         sender: member(sender, State::Alive),
         generation: id::Generation(0),
         digest: 0,
-        whole: false,
+        full_state: false,
         members,
-        suspects: Vec::new(),
+        fingerprints: Vec::new(),
     }
 }
 
@@ -165,7 +165,7 @@
     let now = Instant::default() + Duration::from_mins(1);
     let local = member("a", State::Alive);
     let mut membership = Membership::new(Settings::default(), local, now, 1);
-    membership.request(now, &beat("b", vec![member("c", State::Alive)]));
+    membership.handle_request(now, &heartbeat("b", vec![member("c", State::Alive)]));
     (membership, now)
 }
 
@@ -178,7 +178,7 @@
 #[rstest]
 fn a_pause_restarts_the_suspicion_timeout() {
     let (mut membership, now) = membership_of_three();
-    membership.request(now, &beat("b", vec![member("c", State::Suspect)]));
+    membership.handle_request(now, &heartbeat("b", vec![member("c", State::Suspect)]));
     let later = now + Duration::from_mins(1);
     membership.tick(later);
     assert!(is_live(&membership, "c"));
@@ -193,12 +193,12 @@
 #[rstest]
 fn a_node_dropped_elsewhere_is_contacted_and_can_refute() {
     let (mut membership, now) = membership_of_three();
-    membership.request(now, &beat("b", vec![member("c", State::Dropped)]));
+    membership.handle_request(now, &heartbeat("b", vec![member("c", State::Dropped)]));
     assert!(is_live(&membership, "c"));
     let sent = membership.tick(now).into_iter().any(|effect| match effect {
-        Effect::Exchange { node, beat, .. } => {
-            node.as_str() == "c" && beat.members.contains(&member("c", State::Dropped))
-        }
+        Effect::Exchange {
+            node, heartbeat, ..
+        } => node.as_str() == "c" && heartbeat.members.contains(&member("c", State::Dropped)),
         _ => false,
     });
     assert!(sent);
@@ -211,8 +211,8 @@
     let mut sent = false;
     for _ in 0..60 {
         time += Duration::from_millis(500);
-        let (answer, _) = membership.request(time, &beat("b", Vec::new()));
-        sent |= answer.whole && answer.members.contains(&member("c", State::Alive));
+        let (answer, _) = membership.handle_request(time, &heartbeat("b", Vec::new()));
+        sent |= answer.full_state && answer.members.contains(&member("c", State::Alive));
     }
     assert!(sent);
 }
--- a/node/examples/control_cost.rs
+++ b/node/examples/control_cost.rs
@@ -2,7 +2,7 @@
 //! real connections on loopback and all nodes in this process:
 //! `cargo run --release -p dottereltally --example control_cost -- --nodes 50 --seconds 20`.
 //!
-//! Also prints the encoded size of gossip messages (beats) with few member
+//! Also prints the encoded size of gossip messages (heartbeats) with few member
 //! updates and with the whole member table.
 
 #![allow(
@@ -21,7 +21,7 @@
     id,
     membership::{
         Settings,
-        beat::{Beat, Member, State},
+        heartbeat::{Heartbeat, Member, State},
     },
 };
 use dottereltally_proto::peer_capnp;
@@ -79,18 +79,22 @@
     }
 }
 
-/// Returns the encoded size of a beat with this number of members, in bytes.
-fn beat_bytes(members: u64) -> usize {
-    let beat = Beat {
+/// Returns the encoded size of a heartbeat with this number of members, in
+/// bytes.
+fn heartbeat_bytes(members: u64) -> usize {
+    let heartbeat = Heartbeat {
         sender: member(0),
         generation: id::Generation(7),
         digest: 1,
-        whole: false,
+        full_state: false,
         members: (1..=members).map(member).collect(),
-        suspects: Vec::new(),
+        fingerprints: Vec::new(),
     };
     let mut message = capnp::message::Builder::new_default();
-    wire::write_beat(&beat, message.init_root::<peer_capnp::beat::Builder<'_>>());
+    wire::write_heartbeat(
+        &heartbeat,
+        message.init_root::<peer_capnp::beat::Builder<'_>>(),
+    );
     capnp::serialize::compute_serialized_size_in_words(&message) * 8
 }
 
@@ -99,7 +103,10 @@
     let nodes = option("--nodes", 50);
     let span = Duration::from_secs(option("--seconds", 20));
     for members in [0, 1, 7, 49, 349] {
-        println!("beat with {members} members: {} bytes", beat_bytes(members));
+        println!(
+            "beat with {members} members: {} bytes",
+            heartbeat_bytes(members)
+        );
     }
     let before = resident_kib();
     let names: Vec<String> = (0..nodes)
--- a/node/src/controllers.rs
+++ b/node/src/controllers.rs
@@ -225,7 +225,7 @@
     let metrics = membership::Metrics::default();
     metrics.register(registry);
     let arguments = membership::Arguments {
-        own: membership::Own {
+        identity: membership::Identity {
             node: base.settings.node,
             data_centre: base.settings.data_centre,
             address: base.address.to_string(),
--- a/node/src/membership.rs
+++ b/node/src/membership.rs
@@ -1,7 +1,7 @@
 //! The actor that keeps the membership.
 //!
 //! [`dottereltally_lib::membership`] makes the decisions; this actor passes
-//! the time, the beats and the host list to it and performs its effects.
+//! the time, the heartbeats and the host list to it and performs its effects.
 
 use std::{
     sync::Arc,
@@ -13,7 +13,7 @@
     id,
     membership::{
         Effect, Host, Membership, Settings,
-        beat::{Beat, Member, State as MemberState},
+        heartbeat::{Heartbeat, Member, State as MemberState},
     },
 };
 use dottereltally_store::host::Snapshot;
@@ -76,7 +76,7 @@
 
 /// This node as its peers see it.
 #[derive(Clone, Debug)]
-pub struct Own {
+pub struct Identity {
     /// Its name.
     pub node: id::Node,
     /// Its data centre.
@@ -88,7 +88,7 @@
 /// Arguments that start the actor.
 pub struct Arguments<H> {
     /// This node.
-    pub own: Own,
+    pub identity: Identity,
     /// Timing and size of the exchanges.
     pub settings: Settings,
     /// The clock, shared with the dispatcher.
@@ -97,7 +97,7 @@
     pub hosts: hosts::Receiver,
     /// Calls the peers.
     pub peers: Peers,
-    /// Beats received from peers.
+    /// Heartbeats received from peers.
     pub exchanges: mpsc::Receiver<Exchange>,
     /// Provides the generation in force.
     pub service: Arc<dyn Service>,
@@ -113,11 +113,11 @@
     Tick,
     /// The host list was read.
     Listed(Arc<Snapshot>),
-    /// A peer's beat arrived.
+    /// A peer's heartbeat arrived.
     Requested(Exchange),
-    /// A peer answered this node's beat.
-    Answered(Beat),
-    /// A peer did not answer this node's beat.
+    /// A peer answered this node's heartbeat.
+    Answered(Heartbeat),
+    /// A peer did not answer this node's heartbeat.
     Failed(id::Node),
     /// Spread a fingerprint of a crashing request while it is valid.
     Quarantine(id::Fingerprint, Duration),
@@ -205,10 +205,10 @@
         myself: ActorRef<Message>,
         arguments: Arguments<H>,
     ) -> Result<Self::State, ActorProcessingErr> {
-        let own = Member {
-            node: arguments.own.node,
-            data_centre: arguments.own.data_centre,
-            address: arguments.own.address,
+        let local = Member {
+            node: arguments.identity.node,
+            data_centre: arguments.identity.data_centre,
+            address: arguments.identity.address,
             incarnation: incarnation(),
             version: 0,
             state: MemberState::Alive,
@@ -220,7 +220,7 @@
         tokio::spawn(forward_hosts(myself.clone(), arguments.hosts));
         tokio::spawn(forward_exchanges(myself, arguments.exchanges));
         Ok(State {
-            membership: Membership::new(arguments.settings, own, now, seed),
+            membership: Membership::new(arguments.settings, local, now, seed),
             clock: arguments.clock,
             peers: arguments.peers,
             service: arguments.service,
@@ -251,23 +251,23 @@
                 self.metrics.rounds.inc();
                 self.membership.tick(now)
             }
-            Message::Listed(snapshot) => self.membership.listed(entry_hosts(&snapshot)),
+            Message::Listed(snapshot) => self.membership.set_hosts(entry_hosts(&snapshot)),
             Message::Requested(exchange) => {
-                let (answer, effects) = self.membership.request(now, &exchange.beat);
+                let (answer, effects) = self.membership.handle_request(now, &exchange.heartbeat);
                 // The peer may have stopped waiting.
                 let _ = exchange.reply.send(answer);
                 effects
             }
-            Message::Answered(beat) => self.membership.answered(now, &beat),
-            Message::Failed(node) => self.membership.failed(now, &node),
+            Message::Answered(heartbeat) => self.membership.handle_answer(now, &heartbeat),
+            Message::Failed(node) => self.membership.handle_failure(now, &node),
             Message::Quarantine(fingerprint, valid) => {
-                self.membership.quarantine(now, fingerprint, valid);
+                self.membership.gossip_fingerprint(now, fingerprint, valid);
                 self.schedule_spread(myself);
                 Vec::new()
             }
             Message::Spread => {
                 self.is_spread_scheduled = false;
-                self.membership.spread(now)
+                self.membership.gossip_now(now)
             }
             Message::Leave(done) => {
                 self.leave(myself, done);
@@ -289,23 +289,23 @@
             Effect::Exchange {
                 node,
                 address,
-                beat,
+                heartbeat,
             } => {
                 tokio::spawn(exchange(
                     self.peers.clone(),
                     myself.clone(),
                     node,
                     address,
-                    beat,
+                    heartbeat,
                 ));
             }
             Effect::Members(members) => self.publish(&members),
-            Effect::Suspected(fingerprints) => {
+            Effect::Fingerprints(fingerprints) => {
                 self.metrics.fingerprints.inc_by(fingerprints.len() as u64);
                 self.dispatcher.tell(Event::Suspected(fingerprints));
                 self.schedule_spread(myself);
             }
-            Effect::Outdated(node, generation) => {
+            Effect::NewerGeneration(node, generation) => {
                 self.peers.prefer(node);
                 self.service.outdated(generation);
             }
@@ -349,7 +349,7 @@
             let Effect::Exchange {
                 node,
                 address,
-                beat,
+                heartbeat,
             } = effect
             else {
                 self.perform(myself, effect);
@@ -357,7 +357,9 @@
             };
             let peers = self.peers.clone();
             let myself = myself.clone();
-            sent.push(tokio::spawn(exchange(peers, myself, node, address, beat)));
+            sent.push(tokio::spawn(exchange(
+                peers, myself, node, address, heartbeat,
+            )));
         }
         tokio::spawn(async move {
             for exchange in sent {
@@ -392,15 +394,15 @@
     u64::try_from(millis).unwrap_or(u64::MAX)
 }
 
-/// Exchanges beats with a peer and reports the result to the actor.
+/// Exchanges heartbeats with a peer and reports the result to the actor.
 async fn exchange(
     peers: Peers,
     actor: ActorRef<Message>,
     node: id::Node,
     address: String,
-    beat: Beat,
+    heartbeat: Heartbeat,
 ) {
-    let message = match peers.exchange(&node, address, beat).await {
+    let message = match peers.exchange(&node, address, heartbeat).await {
         Ok(answer) if answer.sender.node == node => Message::Answered(answer),
         _ => Message::Failed(node),
     };
@@ -434,7 +436,7 @@
     }
 }
 
-/// Forwards the beats of peers to the actor until it stops.
+/// Forwards the heartbeats of peers to the actor until it stops.
 async fn forward_exchanges(actor: ActorRef<Message>, mut exchanges: mpsc::Receiver<Exchange>) {
     while let Some(exchange) = exchanges.recv().await {
         if actor.cast(Message::Requested(exchange)).is_err() {
--- a/node/src/peer/connection.rs
+++ b/node/src/peer/connection.rs
@@ -3,7 +3,7 @@
 use std::{cell::Cell, time::Duration};
 
 use capnp_rpc::{RpcSystem, rpc_twoparty_capnp::Side};
-use dottereltally_lib::{event, id, membership::beat::Beat};
+use dottereltally_lib::{event, id, membership::heartbeat::Heartbeat};
 use dottereltally_proto::peer_capnp::peer;
 use dottereltally_store::layout;
 use tokio::{
@@ -20,8 +20,8 @@
 /// A call to a peer.
 #[derive(Clone, Debug)]
 pub enum Call {
-    /// Exchanges beats.
-    Exchange(Beat),
+    /// Exchanges heartbeats.
+    Exchange(Heartbeat),
     /// Asks for a configuration with a generation higher than this one.
     Configuration(id::Generation),
     /// Asks for the outcome of an attempt.
@@ -55,8 +55,8 @@
 /// Reply of a peer.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// The peer's beat.
-    Beat(Beat),
+    /// The peer's heartbeat.
+    Heartbeat(Heartbeat),
     /// The peer's configuration, if its generation is higher than the one asked.
     Configuration(Option<layout::Configuration>),
     /// Outcome of the attempt.
@@ -120,12 +120,12 @@
 
     async fn send(&self, call: &Call) -> capnp::Result<Reply> {
         match call {
-            Call::Exchange(beat) => {
+            Call::Exchange(heartbeat) => {
                 let mut request = self.client.exchange_request();
-                wire::write_beat(beat, request.get().init_beat());
+                wire::write_heartbeat(heartbeat, request.get().init_beat());
                 let response = request.send().promise.await?;
-                let beat = wire::read_beat(response.get()?.get_beat()?)?;
-                Ok(Reply::Beat(beat))
+                let heartbeat = wire::read_heartbeat(response.get()?.get_beat()?)?;
+                Ok(Reply::Heartbeat(heartbeat))
             }
             Call::Configuration(above) => {
                 let mut request = self.client.configuration_request();
--- a/node/src/peer/handle.rs
+++ b/node/src/peer/handle.rs
@@ -11,7 +11,7 @@
     thread,
 };
 
-use dottereltally_lib::{event, id, membership::beat::Beat};
+use dottereltally_lib::{event, id, membership::heartbeat::Heartbeat};
 use dottereltally_store::layout;
 use tokio::{
     net::TcpListener,
@@ -31,7 +31,7 @@
 
 /// Number of calls that may be queued for the thread.
 const MAX_QUEUED_CALLS: usize = 1024;
-/// Number of peers' beats that may be queued for the membership.
+/// Number of peers' heartbeats that may be queued for the membership.
 const MAX_QUEUED_EXCHANGES: usize = 256;
 /// Number of admission messages that may be queued for one peer.
 const MAX_OUTBOX_MESSAGES: usize = 256;
@@ -84,7 +84,7 @@
 
 /// Starts the thread that serves and calls peers.
 ///
-/// The returned receiver yields the beats of peers and belongs to the
+/// The returned receiver yields the heartbeats of peers and belongs to the
 /// membership. The handle knows no peer until [`Handle::update`] is called.
 ///
 /// # Errors
@@ -233,7 +233,7 @@
         directory.ahead.truncate(MAX_CANDIDATES);
     }
 
-    /// Exchanges beats with the peer at an address.
+    /// Exchanges heartbeats with the peer at an address.
     ///
     /// # Errors
     ///
@@ -242,10 +242,10 @@
         &self,
         node: &id::Node,
         address: String,
-        beat: Beat,
-    ) -> Result<Beat, Error> {
-        match self.call(node, address, Call::Exchange(beat)).await? {
-            Reply::Beat(beat) => Ok(beat),
+        heartbeat: Heartbeat,
+    ) -> Result<Heartbeat, Error> {
+        match self.call(node, address, Call::Exchange(heartbeat)).await? {
+            Reply::Heartbeat(heartbeat) => Ok(heartbeat),
             _ => Err(wrong_type(node)),
         }
     }
--- a/node/src/peer/server.rs
+++ b/node/src/peer/server.rs
@@ -4,7 +4,7 @@
 
 use capnp::Error;
 use capnp_rpc::{RpcSystem, rpc_twoparty_capnp::Side};
-use dottereltally_lib::{id, membership::beat::Beat};
+use dottereltally_lib::{id, membership::heartbeat::Heartbeat};
 use dottereltally_proto::peer_capnp::peer;
 use tokio::{
     net::{TcpListener, TcpStream},
@@ -21,18 +21,18 @@
 const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
 /// Time between two checks whether a connection is idle.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(10);
-/// Time limit for the membership to answer a beat.
+/// Time limit for the membership to answer a heartbeat.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Delay after a failed accept, for example for lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A peer's beat and the channel for its answer.
+/// A peer's heartbeat and the channel for its answer.
 #[derive(Debug)]
 pub struct Exchange {
-    /// The peer's beat.
-    pub beat: Beat,
+    /// The peer's heartbeat.
+    pub heartbeat: Heartbeat,
     /// Receives the answer.
-    pub reply: oneshot::Sender<Beat>,
+    pub reply: oneshot::Sender<Heartbeat>,
 }
 
 /// State shared by the connections of peers.
@@ -40,7 +40,7 @@
 pub struct Shared {
     /// Answers the calls.
     pub service: Arc<dyn Service>,
-    /// Receives the beats.
+    /// Receives the heartbeats.
     pub exchanges: mpsc::Sender<Exchange>,
     /// Counters.
     pub metrics: Metrics,
@@ -116,10 +116,10 @@
         result
     }
 
-    /// Passes a beat to the membership and returns its answer.
-    async fn exchange_beat(&self, beat: Beat) -> capnp::Result<Beat> {
+    /// Passes a heartbeat to the membership and returns its answer.
+    async fn exchange_heartbeat(&self, heartbeat: Heartbeat) -> capnp::Result<Heartbeat> {
         let (reply, answer) = oneshot::channel();
-        let exchange = Exchange { beat, reply };
+        let exchange = Exchange { heartbeat, reply };
         self.shared
             .exchanges
             .try_send(exchange)
@@ -138,12 +138,12 @@
         mut results: peer::ExchangeResults,
     ) -> Result<(), Error> {
         self.last_used.set(Instant::now());
-        let beat = params
+        let heartbeat = params
             .get()
             .and_then(peer::exchange_params::Reader::get_beat);
-        let beat = self.count_malformed(beat.and_then(wire::read_beat))?;
-        let answer = self.exchange_beat(beat).await?;
-        wire::write_beat(&answer, results.get().init_beat());
+        let heartbeat = self.count_malformed(heartbeat.and_then(wire::read_heartbeat))?;
+        let answer = self.exchange_heartbeat(heartbeat).await?;
+        wire::write_heartbeat(&answer, results.get().init_beat());
         Ok(())
     }
 
--- a/node/src/peer/wire.rs
+++ b/node/src/peer/wire.rs
@@ -5,7 +5,7 @@
 use capnp::{Error, NotInSchema, struct_list};
 use dottereltally_lib::{
     event, id,
-    membership::beat::{Beat, Member, State},
+    membership::heartbeat::{Heartbeat, Member, State},
     size,
 };
 use dottereltally_proto::peer_capnp;
@@ -13,10 +13,10 @@
 
 use crate::peer::{Answer, Response};
 
-/// Number of members in one beat.
+/// Number of members in one heartbeat.
 const MAX_MEMBERS: u32 = 4096;
-/// Number of fingerprints in one beat.
-const MAX_SUSPECTS: u32 = 4096;
+/// Number of fingerprints in one heartbeat.
+const MAX_FINGERPRINTS: u32 = 4096;
 /// Number of entries in one admission message.
 const MAX_ADMISSION_ENTRIES: u32 = 4096;
 /// Longest name or address, bytes.
@@ -55,12 +55,12 @@
     u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// Reads a beat.
+/// Reads a heartbeat.
 ///
 /// # Errors
 ///
 /// Fails if the message is malformed or a bound is exceeded.
-pub fn read_beat(reader: peer_capnp::beat::Reader<'_>) -> capnp::Result<Beat> {
+pub fn read_heartbeat(reader: peer_capnp::beat::Reader<'_>) -> capnp::Result<Heartbeat> {
     let sender = Member {
         node: read_name(reader.get_node()?)?.into(),
         data_centre: read_name(reader.get_data_centre()?)?.into(),
@@ -80,19 +80,19 @@
         members.push(read_member(member)?);
     }
     let list = reader.get_suspects()?;
-    check_len(list.len(), MAX_SUSPECTS)?;
-    let mut suspects = Vec::new();
+    check_len(list.len(), MAX_FINGERPRINTS)?;
+    let mut fingerprints = Vec::new();
     for suspect in list {
         let valid = Duration::from_millis(suspect.get_valid_ms());
-        suspects.push((id::Fingerprint(suspect.get_fingerprint()), valid));
+        fingerprints.push((id::Fingerprint(suspect.get_fingerprint()), valid));
     }
-    Ok(Beat {
+    Ok(Heartbeat {
         sender,
         generation: id::Generation(reader.get_generation()),
         digest: reader.get_digest(),
-        whole: reader.get_whole(),
+        full_state: reader.get_whole(),
         members,
-        suspects,
+        fingerprints,
     })
 }
 
@@ -116,26 +116,28 @@
     })
 }
 
-/// Writes a beat.
-pub fn write_beat(beat: &Beat, mut builder: peer_capnp::beat::Builder<'_>) {
-    builder.set_node(beat.sender.node.as_str());
-    builder.set_data_centre(beat.sender.data_centre.as_str());
-    builder.set_address(&beat.sender.address);
-    builder.set_incarnation(beat.sender.incarnation);
-    builder.set_version(beat.sender.version);
-    builder.set_leaving(beat.sender.state == State::Left);
-    builder.set_generation(beat.generation.0);
-    builder.set_digest(beat.digest);
-    builder.set_whole(beat.whole);
-    if !beat.members.is_empty() {
-        let mut list = builder.reborrow().init_members(list_len(&beat.members));
-        for (index, member) in (0..).zip(&beat.members) {
+/// Writes a heartbeat.
+pub fn write_heartbeat(heartbeat: &Heartbeat, mut builder: peer_capnp::beat::Builder<'_>) {
+    builder.set_node(heartbeat.sender.node.as_str());
+    builder.set_data_centre(heartbeat.sender.data_centre.as_str());
+    builder.set_address(&heartbeat.sender.address);
+    builder.set_incarnation(heartbeat.sender.incarnation);
+    builder.set_version(heartbeat.sender.version);
+    builder.set_leaving(heartbeat.sender.state == State::Left);
+    builder.set_generation(heartbeat.generation.0);
+    builder.set_digest(heartbeat.digest);
+    builder.set_whole(heartbeat.full_state);
+    if !heartbeat.members.is_empty() {
+        let mut list = builder
+            .reborrow()
+            .init_members(list_len(&heartbeat.members));
+        for (index, member) in (0..).zip(&heartbeat.members) {
             write_member(member, list.reborrow().get(index));
         }
     }
-    if !beat.suspects.is_empty() {
-        let mut list = builder.init_suspects(list_len(&beat.suspects));
-        for (index, (fingerprint, valid)) in (0..).zip(&beat.suspects) {
+    if !heartbeat.fingerprints.is_empty() {
+        let mut list = builder.init_suspects(list_len(&heartbeat.fingerprints));
+        for (index, (fingerprint, valid)) in (0..).zip(&heartbeat.fingerprints) {
             let mut suspect = list.reborrow().get(index);
             suspect.set_fingerprint(fingerprint.0);
             suspect.set_valid_ms(millis(*valid));
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -195,7 +195,7 @@
 pub fn endless_suspicion() -> Settings {
     Settings {
         period: Duration::from_millis(50),
-        suspicion: Duration::from_hours(1),
+        suspicion_timeout: Duration::from_hours(1),
         ..Settings::default()
     }
 }
@@ -204,8 +204,8 @@
 pub fn short_suspicion() -> Settings {
     Settings {
         period: Duration::from_millis(50),
-        suspicion: Duration::from_millis(200),
-        suspicion_step: Duration::from_millis(50),
+        suspicion_timeout: Duration::from_millis(200),
+        suspicion_timeout_step: Duration::from_millis(50),
         ..Settings::default()
     }
 }
@@ -274,7 +274,7 @@
             peer::start(name.into(), listener, service.clone(), metrics.clone()).unwrap();
         *service.peers.lock().unwrap() = Some(peers.clone());
         let arguments = membership::Arguments {
-            own: membership::Own {
+            identity: membership::Identity {
                 node: name.into(),
                 data_centre: "plovdiv".into(),
                 address: address.clone(),
