--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -220,7 +220,7 @@
     let now = chain.clock.now();
     let remaining = job.deadline.since(now);
     tracing::info!(
-        id = job.correlation,
+        id = job.correlation_id,
         route = %job.route.name,
         service = %job.service,
         tier = job.tier.0,
@@ -269,14 +269,15 @@
 }
 
 /// Returns the time limit for the first event of a stream that may be resumed
-/// at another endpoint; none for other requests.
+/// at another endpoint; `None` for other requests.
 fn first_event_timeout(route: &Route, choice: &Choice) -> Option<Duration> {
     let resumable = route.retry == Retry::Resume && route.attempts > 1;
     resumable.then(|| choice.expected_first_byte * 3 + FIRST_EVENT_SLACK)
 }
 
-/// Distinguishes a passed deadline from an endpoint that is slower than
-/// expected.
+/// Returns the result of an attempt whose first event did not arrive in time:
+/// `Expired` if the request's deadline passed, otherwise `Broken`, after which
+/// another endpoint may be tried.
 fn first_event_overdue(permit: Permit, deadline: Instant) -> Attempt {
     if Instant::now() >= deadline {
         return Attempt::Expired { permit };
@@ -309,7 +310,7 @@
         permit,
         cause: cause.to_owned(),
     };
-    if head.correlation.as_deref() != Some(job.correlation.as_str()) {
+    if head.correlation_id.as_deref() != Some(job.correlation_id.as_str()) {
         return broken(permit, "the answer belongs to another request");
     }
     let success = parts.status.is_success();
--- a/gateway/src/chain.rs
+++ b/gateway/src/chain.rs
@@ -54,7 +54,7 @@
     pub clock: Clock,
     /// Reads and writes the headers of callers and endpoints.
     pub dialect: D,
-    /// The plan in force; none before the first one.
+    /// The plan in force; `None` until the first one was read.
     pub plan: watch::Receiver<Option<Arc<Plan>>>,
     /// Chooses an endpoint for each request.
     pub admission: admission::Handle,
@@ -75,16 +75,17 @@
 /// An accepted request: routed, and charged against its quota.
 pub struct Job {
     /// Identifies the caller's attempt; the `id` of its log lines.
-    pub correlation: String,
+    pub correlation_id: String,
     /// Its route.
     pub route: Arc<Route>,
     /// The service that serves it.
     pub service: id::Service,
-    /// The caller's workspace.
+    /// The caller's workspace; `None` where no key is needed.
     pub workspace: Option<id::Workspace>,
     /// Its tier.
     pub tier: id::Tier,
-    /// Tokens of its prompt and of its expected answer.
+    /// Tokens of its prompt and of its expected answer; zeros if the caller sent
+    /// no token counts.
     pub tokens: (u64, u64),
     /// When it was received.
     pub received: time::Instant,
@@ -92,7 +93,7 @@
     pub deadline: time::Instant,
     /// When the caller gives up without a first byte.
     pub first_byte_deadline: time::Instant,
-    /// Equal when the same caller sends the same request again.
+    /// Hash that is equal when the same caller sends the same request again.
     pub fingerprint: id::Fingerprint,
     /// The message to endpoints, whichever is chosen.
     pub template: Template,
@@ -143,18 +144,18 @@
         // A request whose length can be read in two ways may hide another one
         // behind it (request smuggling), so nothing more is read from the
         // connection of a request with a transfer encoding.
-        let chunked = parts.headers.contains_key(TRANSFER_ENCODING);
+        let has_transfer_encoding = parts.headers.contains_key(TRANSFER_ENCODING);
         let (mut response, close) = match self.dialect.read_request(&parts.headers) {
             Ok(head) => {
-                let correlation = head.correlation.clone();
+                let correlation_id = head.correlation_id.clone();
                 let outcome = Arc::clone(&self)
                     .accept_and_send(received, head, parts, body)
                     .await;
                 match outcome {
                     Ok(response) => (response, false),
                     Err(refused) => {
-                        self.record_refusal(received, &correlation, &refused);
-                        let response = refused.response(&self.dialect, &correlation);
+                        self.record_refusal(received, &correlation_id, &refused);
+                        let response = refused.response(&self.dialect, &correlation_id);
                         (response, refused.close)
                     }
                 }
@@ -169,7 +170,7 @@
                 (refused.response(&self.dialect, ""), true)
             }
         };
-        if chunked || close {
+        if has_transfer_encoding || close {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(CONNECTION, close);
         }
@@ -177,11 +178,11 @@
     }
 
     /// Counts and logs a refusal.
-    fn record_refusal(&self, received: time::Instant, correlation: &str, refused: &Refused) {
+    fn record_refusal(&self, received: time::Instant, correlation_id: &str, refused: &Refused) {
         let problem = &refused.problem;
         self.metrics.refused(problem.reason(), problem.status());
         tracing::info!(
-            id = correlation,
+            id = correlation_id,
             status = problem.status().as_u16(),
             reason = %problem.reason(),
             run = %problem.run(),
@@ -251,7 +252,7 @@
             return Err(refused.closing());
         };
         let body = body.map_err(refuse_and_close)?;
-        let service = route.service(hash(&[head.correlation.as_bytes()]));
+        let service = route.service(hash(&[head.correlation_id.as_bytes()]));
         let service = service.ok_or_else(|| {
             let refused = Refused::unsent(
                 StatusCode::SERVICE_UNAVAILABLE,
@@ -269,7 +270,7 @@
         let deadline = received + time_limit - ANSWER_MARGIN;
         let patience = route.patience.unwrap_or(time_limit);
         Ok(Job {
-            correlation: head.correlation.clone(),
+            correlation_id: head.correlation_id.clone(),
             route: Arc::clone(route),
             service: service.clone(),
             workspace: workspace.clone(),
@@ -316,7 +317,7 @@
             let admitted = lock(&self.limiter).admit(now, name, quota, cost);
             if let Err(exhausted) = admitted {
                 tracing::info!(
-                    id = head.correlation,
+                    id = head.correlation_id,
                     workspace = %name,
                     cost,
                     level = exhausted.level,
@@ -397,7 +398,7 @@
         if !granted {
             self.metrics.budget_exhausted.inc();
             tracing::info!(
-                id = job.correlation,
+                id = job.correlation_id,
                 service = %job.service,
                 sends = progress.sends,
                 "not retried: the retry budget is used up"
@@ -427,8 +428,9 @@
         lock(&self.crashes).record_broken(self.clock.now(), endpoint, job.fingerprint);
     }
 
-    /// Records that an endpoint can't be reached; requests whose connections to
-    /// it broke shortly before are suspected of having crashed it.
+    /// Records that an endpoint can't be reached, so that it is taken for dead;
+    /// requests whose connections to it broke shortly before are suspected of
+    /// having crashed it.
     pub fn record_unreachable(&self, endpoint: &id::Endpoint) {
         let suspects = lock(&self.crashes).record_death(self.clock.now(), endpoint);
         if suspects > 0 {
@@ -448,7 +450,7 @@
         if let Some(failure) = attempt.failure() {
             self.metrics.attempt_failed(failure);
             tracing::info!(
-                id = job.correlation,
+                id = job.correlation_id,
                 endpoint = %choice.endpoint,
                 address = choice.address,
                 failure,
@@ -541,7 +543,7 @@
         let took = now.since(job.received);
         self.metrics.answered(job.tier, status, took);
         tracing::info!(
-            id = job.correlation,
+            id = job.correlation_id,
             route = %job.route.name,
             workspace = job.workspace.as_ref().map(id::Workspace::as_str),
             endpoint = %choice.endpoint,
@@ -666,7 +668,7 @@
     }
 }
 
-/// Finds the caller's workspace by its key; none where no key is needed.
+/// Finds the caller's workspace by its key; `None` where no key is needed.
 fn workspace(plan: &Plan, route: &Route, head: &Head) -> Result<Option<id::Workspace>, Refused> {
     let Some(workspaces) = &plan.workspaces else {
         return Ok(None);
@@ -684,13 +686,14 @@
     })
 }
 
-/// Returns the tokens of the prompt and of the expected answer.
+/// Returns the tokens of the prompt and of the expected answer; zeros if the
+/// caller sent no token counts.
 fn expected_tokens(head: &Head) -> (u64, u64) {
-    let Some((prompt, most)) = head.tokens else {
+    let Some((prompt, max_output)) = head.tokens else {
         return (0, 0);
     };
-    let expected = head.expected_output.unwrap_or(most);
-    (prompt, expected.clamp(1, most.max(1)))
+    let expected = head.expected_output.unwrap_or(max_output);
+    (prompt, expected.clamp(1, max_output.max(1)))
 }
 
 fn hash(parts: &[&[u8]]) -> u64 {
--- a/gateway/src/dialect.rs
+++ b/gateway/src/dialect.rs
@@ -8,16 +8,18 @@
 use dottereltally_lib::id;
 use http::{HeaderMap, HeaderValue};
 
-/// Why the headers of a request can't be understood; the text names the remedy.
+/// Why the headers of a request can't be understood; the text names the remedy
+/// and is sent to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct Malformed(pub String);
 
-/// What the gateway reads from the headers of a request.
+/// What the gateway reads from the headers of a request; a field is `None` if the
+/// caller did not send it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Head {
     /// Identifies the caller's attempt; endpoints repeat it in their answers.
-    pub correlation: String,
+    pub correlation_id: String,
     /// Time that the caller will still wait.
     pub remaining: Option<Duration>,
     /// Tokens of the prompt, and the most that the answer may have.
@@ -50,12 +52,12 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Answer {
     /// Identifies the caller's attempt that it answers.
-    pub correlation: Option<String>,
+    pub correlation_id: Option<String>,
     /// Whether the endpoint marked it as its own, complete answer.
     pub sealed: bool,
     /// Whether the endpoint reports that it did not run the request.
     pub not_run: bool,
-    /// Requests that are running and waiting at the endpoint.
+    /// Requests that are running and waiting at the endpoint, if it reports them.
     pub load: Option<(u32, u32)>,
 }
 
@@ -76,7 +78,7 @@
     fn read_answer(&self, headers: &HeaderMap) -> Answer;
 
     /// Adds the id of the caller's attempt to the headers of a refusal.
-    fn mark_refusal(&self, headers: &mut HeaderMap, correlation: &str);
+    fn mark_refusal(&self, headers: &mut HeaderMap, correlation_id: &str);
 
     /// Returns the value of `Retry-After` in the format that callers expect.
     fn retry_after(&self, delay: Duration) -> HeaderValue;
--- a/gateway/src/refusal.rs
+++ b/gateway/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals: answers that the gateway gives instead of an endpoint.
+//! Refusals and failures: answers that the gateway gives instead of an endpoint.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 
 use crate::dialect::Dialect;
 
-/// A refusal of a request.
+/// A refusal of a request, or the failure of one that an endpoint may have run.
 #[derive(Clone, Debug)]
 pub struct Refused {
     /// The problem that is sent to the caller.
     pub problem: Problem,
-    /// When the caller may try again, if that can help.
+    /// Delay after which the caller may try again, if the answer names one.
     pub retry_after: Option<Duration>,
     /// Whether the connection must be closed after the answer.
     pub close: bool,
@@ -72,7 +72,7 @@
             .with_retry_after(refusal.retry_after)
     }
 
-    /// Sets when the caller may try again.
+    /// Sets the delay after which the caller may try again.
     #[must_use]
     pub fn with_retry_after(mut self, delay: Duration) -> Self {
         self.retry_after = Some(delay);
@@ -87,13 +87,13 @@
     }
 
     /// Returns the answer to the caller.
-    pub fn response(&self, dialect: &impl Dialect, correlation: &str) -> Response<Body> {
+    pub fn response(&self, dialect: &impl Dialect, correlation_id: &str) -> Response<Body> {
         let mut response = self.problem.response(None);
         let headers = response.headers_mut();
         if let Some(delay) = self.retry_after {
             headers.insert(RETRY_AFTER, dialect.retry_after(delay));
         }
-        dialect.mark_refusal(headers, correlation);
+        dialect.mark_refusal(headers, correlation_id);
         response
     }
 }
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -36,17 +36,22 @@
     job: Job,
     progress: Progress,
     choice: Choice,
-    source: Option<Source>,
+    /// `None` while the stream has no endpoint: it is being resumed, or ended.
+    upstream: Option<Upstream>,
+    /// Status and headers of the answer; taken when it is returned.
     parts: Option<response::Parts>,
     /// Events that arrived but were not relayed yet.
     pending: Option<Batch>,
+    /// Id of the last event that the caller has; `None` if no event had one.
     last_event_id: Option<u64>,
+    /// Events that were relayed.
     events: u64,
+    /// Deadline of the request.
     deadline: Instant,
 }
 
 /// The endpoint's side of a stream; dropping it cancels the request there.
-struct Source {
+struct Upstream {
     body: Answer,
     splitter: Splitter,
     permit: Permit,
@@ -58,12 +63,15 @@
 /// What an endpoint sent next.
 enum Received {
     Events(Batch),
+    /// The stream ended after a complete event.
     End,
+    /// The stream broke or stalled, for this cause.
     Broken(String),
+    /// The deadline of the request passed.
     Expired,
 }
 
-impl Source {
+impl Upstream {
     /// Waits for the next complete events until `event_deadline`; `deadline` is that
     /// of the request.
     async fn next(&mut self, event_deadline: Instant, deadline: Instant) -> Received {
@@ -103,7 +111,7 @@
         let waited = chain.clock.now().since(job.received);
         chain.metrics.first_event(job.tier, waited);
         tracing::info!(
-            id = job.correlation,
+            id = job.correlation_id,
             endpoint = %choice.endpoint,
             first_ms = millis(waited),
             "stream began"
@@ -113,7 +121,7 @@
             job,
             progress,
             choice,
-            source: Some(Source {
+            upstream: Some(Upstream {
                 body: stream.body,
                 splitter: stream.splitter,
                 permit: stream.permit,
@@ -146,15 +154,15 @@
         head.map(|()| Body::stream(StreamBody::new(Box::pin(frames))))
     }
 
-    /// Returns the next events, an error if the stream is cut, none at its end.
+    /// Returns the next events, an error if the stream is cut, `None` at its end.
     async fn next(&mut self) -> Option<Result<Bytes, Cut>> {
         if let Some(batch) = self.pending.take() {
             return Some(self.forward(batch).map_err(|cause| self.cut(&cause)));
         }
         loop {
             let event_deadline = self.next_event_deadline();
-            let source = self.source.as_mut()?;
-            let cause = match source.next(event_deadline, self.deadline).await {
+            let upstream = self.upstream.as_mut()?;
+            let cause = match upstream.next(event_deadline, self.deadline).await {
                 Received::Events(batch) => match self.forward(batch) {
                     Ok(bytes) => return Some(Ok(bytes)),
                     Err(cause) => cause,
@@ -192,7 +200,8 @@
             && (self.last_event_id.is_some() || self.events == 0)
     }
 
-    /// Checks that events follow those that were relayed, and returns their bytes.
+    /// Checks that events follow those that were relayed, and returns their bytes;
+    /// fails with the cause if events are missing or repeated.
     fn forward(&mut self, batch: Batch) -> Result<Bytes, String> {
         if let (Some(last), Some(first)) = (self.last_event_id, batch.first_id)
             && first != last + 1
@@ -200,12 +209,14 @@
             return Err(format!("event {first} came after event {last}"));
         }
         self.events += batch.events;
-        if let Some(source) = &mut self.source {
+        if let Some(upstream) = &mut self.upstream {
             let now = Instant::now();
-            source.timing.events += batch.events;
-            source.timing.longest_pause =
-                source.timing.longest_pause.max(now - source.last_event_at);
-            source.last_event_at = now;
+            upstream.timing.events += batch.events;
+            upstream.timing.longest_pause = upstream
+                .timing
+                .longest_pause
+                .max(now - upstream.last_event_at);
+            upstream.last_event_at = now;
         }
         self.last_event_id = batch.last_id.or(self.last_event_id);
         Ok(batch.bytes)
@@ -213,8 +224,8 @@
 
     /// Resumes the stream at another endpoint; false if that is not possible.
     async fn resume(&mut self, cause: &str) -> bool {
-        if let Some(source) = self.source.take() {
-            source.permit.end(Outcome::Broken);
+        if let Some(upstream) = self.upstream.take() {
+            upstream.permit.end(Outcome::Broken);
             self.chain
                 .record_broken_connection(&self.job, &self.choice.endpoint);
         }
@@ -228,7 +239,7 @@
                 return false;
             };
             tracing::info!(
-                id = self.job.correlation,
+                id = self.job.correlation_id,
                 from = %self.choice.endpoint,
                 to = %choice.endpoint,
                 after = self.last_event_id,
@@ -242,7 +253,7 @@
                 Attempt::Stream(stream) => {
                     self.progress.record_send(&choice);
                     self.choice = choice;
-                    self.source = Some(Source {
+                    self.upstream = Some(Upstream {
                         body: stream.body,
                         splitter: stream.splitter,
                         permit: stream.permit,
@@ -279,11 +290,11 @@
 
     /// Records that the stream ended and was relayed completely.
     fn finish(&mut self) {
-        let Some(source) = self.source.take() else {
+        let Some(upstream) = self.upstream.take() else {
             return;
         };
-        let timing = source.timing;
-        source.permit.end(Outcome::Answered(timing));
+        let timing = upstream.timing;
+        upstream.permit.end(Outcome::Answered(timing));
         self.chain.record_answer(
             &self.job,
             &self.choice,
@@ -296,10 +307,10 @@
     /// Cuts the stream, so that the caller can distinguish it from a complete
     /// one.
     fn cut(&mut self, cause: &str) -> Cut {
-        self.source = None;
+        self.upstream = None;
         self.chain.metrics.cut.inc();
         tracing::info!(
-            id = self.job.correlation,
+            id = self.job.correlation_id,
             route = %self.job.route.name,
             endpoint = %self.choice.endpoint,
             events = self.events,
--- a/gateway/tests/common/mod.rs
+++ b/gateway/tests/common/mod.rs
@@ -51,10 +51,10 @@
 
 impl Dialect for TestHeaders {
     fn read_request(&self, headers: &HeaderMap) -> Result<Head, Malformed> {
-        let correlation =
+        let correlation_id =
             text(headers, "x-id").ok_or_else(|| Malformed("send `x-id`".to_owned()))?;
         Ok(Head {
-            correlation,
+            correlation_id,
             remaining: text(headers, "x-left")
                 .and_then(|left| left.parse().ok())
                 .map(Duration::from_millis),
@@ -83,15 +83,15 @@
 
     fn read_answer(&self, headers: &HeaderMap) -> Answer {
         Answer {
-            correlation: text(headers, "x-id"),
+            correlation_id: text(headers, "x-id"),
             sealed: headers.contains_key("x-seal"),
             not_run: headers.contains_key("x-not-run"),
             load: None,
         }
     }
 
-    fn mark_refusal(&self, headers: &mut HeaderMap, correlation: &str) {
-        if let Ok(value) = HeaderValue::from_str(correlation) {
+    fn mark_refusal(&self, headers: &mut HeaderMap, correlation_id: &str) {
+        if let Ok(value) = HeaderValue::from_str(correlation_id) {
             headers.insert("x-id", value);
         }
     }
@@ -114,7 +114,8 @@
     Close,
 }
 
-/// An endpoint that follows a script, one entry per request.
+/// An endpoint that follows a script, one entry per request; requests after its
+/// end are answered with status 200 and the body `usual`.
 pub struct Endpoint {
     pub address: SocketAddr,
     requests: Arc<Mutex<Vec<String>>>,
@@ -243,7 +244,7 @@
     None
 }
 
-/// Sends a whole answer.
+/// Sends a complete answer.
 pub fn answer_with(status: u16, body: &str) -> Step {
     Step::Send(format!(
         "HTTP/1.1 {status} X\r\nx-id: {{id}}\r\nx-seal: s\r\ncontent-length: {}\r\n\r\n{body}",
@@ -418,7 +419,7 @@
     }
 
     /// Sends raw bytes and returns all that arrives until the connection ends.
-    pub async fn raw(&self, bytes: &str) -> String {
+    pub async fn send_raw(&self, bytes: &str) -> String {
         let mut stream = TcpStream::connect(self.address).await.unwrap();
         stream.write_all(bytes.as_bytes()).await.unwrap();
         let mut answer = Vec::new();
@@ -432,7 +433,7 @@
         let request = format!(
             "GET {path} HTTP/1.1\r\nhost: a.example\r\nx-id: one\r\nconnection: close\r\n{headers}\r\n"
         );
-        self.raw(&request).await
+        self.send_raw(&request).await
     }
 }
 
@@ -451,7 +452,7 @@
         .collect()
 }
 
-/// Returns whether a chunked answer is whole.
-pub fn is_whole(answer: &str) -> bool {
+/// Returns whether a chunked answer is complete.
+pub fn is_complete(answer: &str) -> bool {
     answer.ends_with("0\r\n\r\n")
 }
--- a/gateway/tests/test_chain.rs
+++ b/gateway/tests/test_chain.rs
@@ -61,7 +61,7 @@
 #[case("/safe/x", 200)]
 #[case("/once/x", 200)]
 #[tokio::test]
-async fn a_rejected_request_may_go_elsewhere(#[case] path: &str, #[case] expected: u16) {
+async fn a_rejected_request_is_sent_to_another_endpoint(#[case] path: &str, #[case] expected: u16) {
     let reject = "HTTP/1.1 503 X\r\nx-id: {id}\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n";
     let rejecting = Endpoint::start(vec![vec![Step::Send(reject.to_owned())]]).await;
     let healthy = Endpoint::start(Vec::new()).await;
@@ -205,7 +205,7 @@
 async fn malformed_requests_are_refused_and_end_their_connection(#[case] bytes: &str) {
     let endpoint = Endpoint::start(Vec::new()).await;
     let gateway = Gateway::start(Some(plan()), &[&endpoint]).await;
-    let answer = gateway.raw(bytes).await;
+    let answer = gateway.send_raw(bytes).await;
     assert_eq!(status(&answer), 400);
     assert!(endpoint.requests().is_empty());
 }
@@ -223,7 +223,7 @@
         "POST /safe/x HTTP/1.1\r\nhost: a.example\r\nx-id: one\r\n{lengths}\r\n0\r\n\r\n\
          GET /safe/hidden HTTP/1.1\r\nhost: a.example\r\nx-id: two\r\n\r\n"
     );
-    gateway.raw(&bytes).await;
+    gateway.send_raw(&bytes).await;
     let requests = endpoint.requests();
     assert!(requests.iter().all(|request| !request.contains("hidden")));
 }
@@ -236,7 +236,7 @@
     let bytes = format!(
         "POST /safe/x HTTP/1.1\r\nhost: a.example\r\nx-id: one\r\ncontent-length: 1001\r\n\r\n{body}"
     );
-    assert_eq!(status(&gateway.raw(&bytes).await), 413);
+    assert_eq!(status(&gateway.send_raw(&bytes).await), 413);
     assert!(endpoint.requests().is_empty());
 }
 
--- a/gateway/tests/test_relay.rs
+++ b/gateway/tests/test_relay.rs
@@ -3,20 +3,20 @@
 mod common;
 
 use common::{
-    Endpoint, Gateway, Step, chunk, event, events, header, is_whole, plan, status, stream_end,
+    Endpoint, Gateway, Step, chunk, event, events, header, is_complete, plan, status, stream_end,
     stream_head,
 };
 use rstest::rstest;
 
 #[tokio::test]
-async fn a_stream_is_relayed_whole() {
+async fn a_stream_is_relayed_completely() {
     let script = vec![vec![stream_head(), event(1), event(2), stream_end()]];
     let endpoint = Endpoint::start(script).await;
     let gateway = Gateway::start(Some(plan()), &[&endpoint]).await;
     let answer = gateway.get("/stream/x", "").await;
     assert_eq!(status(&answer), 200);
     assert_eq!(events(&answer), ["d1", "d2"]);
-    assert!(is_whole(&answer));
+    assert!(is_complete(&answer));
 }
 
 #[rstest]
@@ -33,7 +33,7 @@
     let gateway = Gateway::start(Some(plan()), &[&broken, &healthy]).await;
     let answer = gateway.get("/stream/x", "").await;
     assert_eq!(events(&answer), ["d1", "d2", "d3", "d4"]);
-    assert!(is_whole(&answer));
+    assert!(is_complete(&answer));
     let resumed = &healthy.requests()[0];
     assert_eq!(header(resumed, "x-after").as_deref(), Some("2"));
     assert_eq!(header(resumed, "x-id").as_deref(), Some("one"));
@@ -47,7 +47,7 @@
     let gateway = Gateway::start(Some(plan()), &[&broken, &healthy]).await;
     let answer = gateway.get("/stream-once/x", "").await;
     assert_eq!(events(&answer), ["d1"]);
-    assert!(!is_whole(&answer));
+    assert!(!is_complete(&answer));
     assert!(healthy.requests().is_empty());
 }
 
@@ -69,7 +69,7 @@
     let gateway = Gateway::start(Some(plan()), &[&broken, &skipping]).await;
     let answer = gateway.get("/stream/x", "").await;
     assert_eq!(events(&answer), ["d1"]);
-    assert!(!is_whole(&answer));
+    assert!(!is_complete(&answer));
 }
 
 #[tokio::test]
