--- a/gateway/src/admission.rs
+++ b/gateway/src/admission.rs
@@ -31,12 +31,14 @@
     End(id::Request, Outcome),
 }
 
-type Commands = mpsc::UnboundedSender<Command>;
+type CommandSender = mpsc::UnboundedSender<Command>;
 
 struct State {
     dispatcher: Dispatcher,
     /// Sends commands to the coordinator, while there is one.
-    coordinator: Option<Commands>,
+    coordinator: Option<CommandSender>,
+    /// Requests that wait in this node's own dispatcher, with the channel that
+    /// takes the decision.
     waiting: HashMap<id::Request, oneshot::Sender<Decision>>,
 }
 
@@ -116,11 +118,11 @@
         }
     }
 
-    /// Lets the coordinator decide; none if it can't, or if this node can't use
+    /// Lets the coordinator decide; `None` if it can't, or if this node can't use
     /// the endpoint that it chose.
     async fn admit_by_coordinator(
         &self,
-        coordinator: Commands,
+        coordinator: CommandSender,
         request: Request,
     ) -> Option<Result<(Choice, Permit), Refusal>> {
         let id = self.next_request_id();
@@ -149,7 +151,7 @@
                     drop(state);
                     tracing::info!(
                         endpoint = %choice.endpoint,
-                        "the endpoint chosen by the coordinator takes no new requests: this node decides"
+                        "the endpoint chosen by the coordinator takes no new requests: this node chooses one itself"
                     );
                     return None;
                 }
@@ -164,7 +166,7 @@
 
     /// Sets who decides: the coordinator that receives `commands`, or this node
     /// if there is none.
-    pub fn set_coordinator(&self, commands: Option<Commands>) {
+    pub fn set_coordinator(&self, commands: Option<CommandSender>) {
         let mut state = self.lock();
         if commands.is_none() {
             state.dispatcher.count_locally();
@@ -189,7 +191,7 @@
         id::Request(self.shared.next_request.fetch_add(1, Ordering::Relaxed))
     }
 
-    fn permit(&self, id: id::Request, coordinator: Option<Commands>) -> Permit {
+    fn permit(&self, id: id::Request, coordinator: Option<CommandSender>) -> Permit {
         Permit {
             handle: self.clone(),
             id,
@@ -225,8 +227,9 @@
         }
     }
 
-    /// Returns this node's requests by endpoint, as it reports them to the other
-    /// nodes; the mean time between events is reported once.
+    /// Returns this node's load by endpoint for the next report to the other
+    /// nodes; the mean time between events covers the streams that ended since
+    /// the last call.
     #[must_use]
     pub fn take_load(&self) -> Vec<(id::Endpoint, Load)> {
         self.lock().dispatcher.take_load()
@@ -251,7 +254,7 @@
     handle: Handle,
     id: id::Request,
     /// Sends commands to the coordinator, if the coordinator decided.
-    coordinator: Option<Commands>,
+    coordinator: Option<CommandSender>,
     ended: bool,
 }
 
--- a/gateway/src/coordinator/link.rs
+++ b/gateway/src/coordinator/link.rs
@@ -116,7 +116,7 @@
                 continue;
             };
             if let Err(failure) = self.delegate_to(&coordinator).await {
-                tracing::info!(home = %coordinator.name, cause = %failure, "this node decides alone");
+                tracing::info!(home = %coordinator.name, cause = %failure, "no coordinator: this node chooses endpoints itself");
                 if !matches!(failure, Failure::Replaced) {
                     let until = Instant::now() + FAILED_COORDINATOR_COOLDOWN;
                     self.cooling_down.insert(coordinator.name, until);
@@ -151,7 +151,7 @@
         let opening = timeout(OPEN_TIMEOUT, open.send().promise);
         let session = opening.await.map_err(timed_out)??;
         let session = session.get()?.get_desk()?;
-        tracing::info!(home = %coordinator.name, %address, "coordinator decides for this node");
+        tracing::info!(home = %coordinator.name, %address, "coordinator chooses endpoints for this node");
         let (commands, receiver) = mpsc::unbounded_channel();
         self.admission.set_coordinator(Some(commands));
         let ended = self.forward_commands(coordinator, &session, receiver).await;
@@ -251,8 +251,9 @@
 struct Liveness {
     /// Requests that wait for the decision of the coordinator.
     waiting: Cell<usize>,
+    /// When the coordinator last answered, or the link was opened.
     last_answer: Cell<Instant>,
-    /// When the ping was sent that is not answered yet.
+    /// When the ping was sent that is not answered yet, if there is one.
     pinged_at: Cell<Option<Instant>>,
 }
 
--- a/gateway/src/coordinator/session.rs
+++ b/gateway/src/coordinator/session.rs
@@ -31,6 +31,7 @@
 pub struct Session {
     admission: admission::Handle,
     clock: Clock,
+    /// The node's requests, by the number that the node gave them.
     requests: RefCell<HashMap<u64, State>>,
 }
 
--- a/gateway/src/coordinator/wire.rs
+++ b/gateway/src/coordinator/wire.rs
@@ -14,6 +14,9 @@
 
 use crate::heartbeat::list_length;
 
+/// Encodes a request. Points in time are sent as the time left from `now`, as
+/// an instant of one node's clock means nothing to another node; a longest pause
+/// of zero stands for none.
 pub(super) fn write_request(request: &Request, now: time::Instant, mut wire: ask::Builder<'_>) {
     wire.set_service(request.service.as_str());
     wire.set_tier(request.tier.0);
--- a/gateway/src/rpc.rs
+++ b/gateway/src/rpc.rs
@@ -76,7 +76,7 @@
         self.admission.apply(|dispatcher, now| {
             dispatcher.record_peer_load(now, &node, loads.into_iter().collect())
         });
-        tracing::info!(%node, "this node coordinates another node");
+        tracing::info!(%node, "this node chooses endpoints for another node");
         let session = Session::new(self.admission.clone(), self.clock);
         results.get().set_desk(capnp_rpc::new_client(session));
         Ok(())
--- a/gateway/tests/test_coordinator.rs
+++ b/gateway/tests/test_coordinator.rs
@@ -80,10 +80,10 @@
 
 /// Links a node to the first of `nodes`; the link ends when the sender is
 /// dropped.
-fn link(name: &str, own: &Handle, clock: Clock, nodes: Vec<Node>) -> watch::Sender<Vec<Node>> {
+fn link(name: &str, handle: &Handle, clock: Clock, nodes: Vec<Node>) -> watch::Sender<Vec<Node>> {
     let ranked_nodes = watch::Sender::new(nodes);
     let name = id::Node::from(name);
-    spawn_local(Link::new(name, own.clone(), clock, ranked_nodes.subscribe()).run());
+    spawn_local(Link::new(name, handle.clone(), clock, ranked_nodes.subscribe()).run());
     ranked_nodes
 }
 
@@ -105,12 +105,12 @@
         let accepted = Rc::<Cell<u32>>::default();
         let counted = Rc::clone(&accepted);
         let task = spawn_local(async move {
-            while let Ok((mut near, _)) = listener.accept().await {
+            while let Ok((mut inbound, _)) = listener.accept().await {
                 counted.set(counted.get() + 1);
-                let mut far = TcpStream::connect(target).await.unwrap();
+                let mut outbound = TcpStream::connect(target).await.unwrap();
                 select! {
-                    _ = copy_bidirectional(&mut near, &mut far) => {}
-                    _ = stalled_receiver.wait_for(|silent| *silent) => pending().await,
+                    _ = copy_bidirectional(&mut inbound, &mut outbound) => {}
+                    _ = stalled_receiver.wait_for(|stalled| *stalled) => pending().await,
                 }
             }
         });
@@ -199,12 +199,12 @@
         node("c", 500, "x"),
     ];
     nodes.push(node("no-rpc-address", 900, ""));
-    let centre = id::DataCentre::from("dc");
-    let ranked = coordinator::rank(&centre, &nodes);
+    let data_centre = id::DataCentre::from("dc");
+    let ranked = coordinator::rank(&data_centre, &nodes);
     assert_eq!(ranked.len(), 3);
     assert_eq!(ranked[2].name.as_str(), "a");
     nodes.reverse();
-    assert_eq!(coordinator::rank(&centre, &nodes), ranked);
+    assert_eq!(coordinator::rank(&data_centre, &nodes), ranked);
     assert!(coordinator::rank(&id::DataCentre::from("other"), &nodes).is_empty());
 }
 
@@ -292,8 +292,8 @@
     let test = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap().to_string();
-        let tries = Rc::<Cell<u32>>::default();
-        let counted = Rc::clone(&tries);
+        let connections = Rc::<Cell<u32>>::default();
+        let counted = Rc::clone(&connections);
         spawn_local(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
                 counted.set(counted.get() + 1);
@@ -302,11 +302,16 @@
             }
         });
         let clock = Clock::start();
-        let own = handle(clock);
-        let _ranked_nodes = link("node", &own, clock, vec![node("coordinator", 1, &address)]);
-        // The second try comes after the first one has failed.
-        wait_until(|| tries.get() >= 2).await;
-        let (_, permit) = own.admit(request(clock)).await.unwrap();
+        let node_handle = handle(clock);
+        let _ranked_nodes = link(
+            "node",
+            &node_handle,
+            clock,
+            vec![node("coordinator", 1, &address)],
+        );
+        // The second connection comes after the first one has failed.
+        wait_until(|| connections.get() >= 2).await;
+        let (_, permit) = node_handle.admit(request(clock)).await.unwrap();
         assert!(!permit.is_delegated());
     };
     LocalSet::new().run_until(test).await;
@@ -325,7 +330,7 @@
             pair.clock,
             vec![node("coordinator", 1, &proxy.address)],
         );
-        // The second try comes after the first one was refused.
+        // The second connection comes after the first one was refused.
         wait_until(|| proxy.accepted.get() >= 2).await;
         let (_, permit) = other.admit(request(pair.clock)).await.unwrap();
         assert!(!permit.is_delegated());
@@ -352,8 +357,8 @@
             });
         }
         let clock = Clock::start();
-        let own = handle(clock);
-        let ranked_nodes = link("node", &own, clock, nodes);
+        let node_handle = handle(clock);
+        let ranked_nodes = link("node", &node_handle, clock, nodes);
         wait_until(|| tried.borrow().len() >= 3).await;
         // Wakes the link, which skips the first ones by now.
         for _ in 0..20 {
--- a/gateway/tests/test_rpc.rs
+++ b/gateway/tests/test_rpc.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// Fetches the directory of a node that knows this one.
+/// Starts a node whose directory is `known`, and fetches the directory from it.
 async fn fetch(known: Snapshot) -> Option<Snapshot> {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
