--- a/gateway/src/controller.rs
+++ b/gateway/src/controller.rs
@@ -34,7 +34,8 @@
     Changes(Changes),
     /// The source can't be read, with the cause.
     SourceFailed(String),
-    /// Another node sent its directory while the source is unavailable.
+    /// The directory of another node was fetched, as this node has not read its
+    /// own from the source yet.
     PeerSnapshot(Box<Snapshot>),
     /// Periodic timer.
     Tick,
--- a/gateway/src/controller/endpoints.rs
+++ b/gateway/src/controller/endpoints.rs
@@ -26,14 +26,15 @@
     missing: bool,
 }
 
-/// The endpoints, as far as the source can be trusted.
+/// The endpoints that this node uses: those of the source, and those whose
+/// descriptions may be missing only because of an outage.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoints {
     tracked: BTreeMap<id::Endpoint, Tracked>,
     initialized: bool,
-    /// Start of the current outage of the source.
+    /// Start of the current outage of the source; `None` while it is available.
     outage_start: Option<time::Instant>,
-    /// End of the last outage of the source.
+    /// End of the last outage of the source; `None` if there was none.
     outage_end: Option<time::Instant>,
     changed: bool,
 }
@@ -126,7 +127,7 @@
         tracing::info!(endpoint = %name, "endpoint removed");
     }
 
-    /// Returns the records if they changed since the last call.
+    /// Returns the records if they changed since the last call, otherwise `None`.
     pub fn take_changed(&mut self, now: time::Instant) -> Option<Vec<Record>> {
         if !self.removals_uncertain(now) {
             self.remove_missing();
@@ -180,6 +181,10 @@
 
 /// Returns whether a description was written before the known one: by an
 /// earlier process of the endpoint, or earlier by the same process.
+///
+/// A description without a start time counts as older than one with it. If
+/// neither has one, or both have the same, the sequence decides, but only
+/// between descriptions with the same address.
 fn is_older(entry: &Entry, known: &Entry) -> bool {
     match (entry.started_ms, known.started_ms) {
         (Some(entry_start), Some(known_start)) if entry_start != known_start => {
--- a/gateway/src/controller/follow.rs
+++ b/gateway/src/controller/follow.rs
@@ -10,11 +10,11 @@
 
 use crate::{controller::Message, directory::Source, metrics::Metrics};
 
-/// Delay until a change appears in a call, beyond the poll interval: a store
-/// that drops its history keeps calls waiting for about a second.
+/// Longest time from a change until a call returns it, beyond the poll interval:
+/// a source that drops its change history keeps calls waiting for about a second.
 const CHANGE_DELAY: Duration = Duration::from_millis(1200);
 
-/// Fraction of the time left within the bound that the poll interval uses.
+/// The poll interval is this fraction of the bound minus [`CHANGE_DELAY`].
 const BOUND_FRACTION: f64 = 0.85;
 
 /// Shortest poll interval.
@@ -87,14 +87,14 @@
     async fn follow_changes(&self, mut revision: Revision) {
         let mut pause = BACKOFF.0;
         loop {
-            let next = Instant::now() + self.poll_interval.0;
+            let next_call = Instant::now() + self.poll_interval.0;
             self.metrics.store_calls.inc();
             match self.source.changes(revision, MAX_WAIT).await {
                 Ok(changes) => {
                     revision = changes.revision;
                     pause = BACKOFF.0;
                     self.send(Message::Changes(changes));
-                    sleep_until(next).await;
+                    sleep_until(next_call).await;
                 }
                 Err(Error::Refused(cause)) => {
                     tracing::info!(
--- a/gateway/src/controller/registration.rs
+++ b/gateway/src/controller/registration.rs
@@ -28,7 +28,9 @@
 pub struct Registration<S> {
     source: S,
     node: Node,
+    /// Lease of the registration; `None` while the node is not registered.
     lease: Mutex<Option<Lease>>,
+    /// Set by [`Self::deregister`], so that [`Self::run`] ends.
     ended: AtomicBool,
     metrics: Metrics,
 }
@@ -69,7 +71,7 @@
                 }
                 Err(error) => {
                     self.metrics.store_failures.inc();
-                    tracing::info!(%error, "registration could not be renewed");
+                    tracing::info!(%error, "node could not be registered or its registration renewed; retrying");
                 }
             }
             let jitter = rand::rng().random_range(0.8..1.2);
--- a/gateway/src/directory.rs
+++ b/gateway/src/directory.rs
@@ -41,7 +41,7 @@
 /// A change of the directory.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// A plan was accepted.
+    /// The platform accepted a plan.
     Plan(Box<Plan>),
     /// An endpoint wrote its description; `None` if it is unusable.
     Endpoint(id::Endpoint, Option<Entry>),
@@ -90,14 +90,17 @@
     ///
     /// # Errors
     ///
-    /// Fails with [`Error::Refused`] if the changes are no longer kept.
+    /// Fails with [`Error::Refused`] if the changes are no longer kept, so that
+    /// the whole directory has to be read again, and with another error if the
+    /// service can't be reached or does not answer in time.
     fn changes(
         &self,
         after: Revision,
         wait: Duration,
     ) -> impl Future<Output = Result<Changes, Error>> + Send;
 
-    /// Registers this node under a new lease.
+    /// Registers this node under a new lease, which expires `ttl` after its last
+    /// renewal.
     ///
     /// # Errors
     ///
@@ -112,7 +115,8 @@
     ///
     /// # Errors
     ///
-    /// Fails with [`Error::UnknownLease`] if it has expired.
+    /// Fails with [`Error::UnknownLease`] if the lease has expired, and with
+    /// another error if the service can't be reached or does not answer in time.
     fn renew(&self, lease: Lease) -> impl Future<Output = Result<(), Error>> + Send;
 
     /// Ends a registration.
