--- a/gateway/src/node.rs
+++ b/gateway/src/node.rs
@@ -63,9 +63,9 @@
 /// Time for which a node that shuts down still takes requests after it reports
 /// that it is not ready: the balancer checks once a second and acts on the
 /// second failed check.
-const NOTICE: Duration = Duration::from_millis(2600);
+const NOTICE_PERIOD: Duration = Duration::from_millis(2600);
 
-/// The notice takes at most the grace period divided by this.
+/// The notice period is at most the grace period divided by this.
 const NOTICE_DIVISOR: u32 = 3;
 
 /// Time at the end of the grace period that is left for the process to exit.
@@ -74,7 +74,8 @@
 /// Time between two attempts to fetch the directory from a seed.
 const SEED_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Limits of connections until those of the plan apply.
+/// Limits that the HTTP servers enforce on every connection; the limits of the
+/// plan are checked afterwards, for each request of a caller.
 const CONNECTION_LIMITS: server::Limits = server::Limits {
     head: 64 * 1024,
     head_timeout: Duration::from_mins(2),
@@ -82,7 +83,7 @@
 };
 
 /// Time limits of connections to endpoints and between nodes: a data centre that is cut off and
-/// a connection that stopped responding must be detected well within a caller's patience.
+/// a connection that stopped responding must be detected well before callers give up.
 pub(crate) const UPSTREAM_LIMITS: pool::Limits = pool::Limits {
     connect: Duration::from_millis(250),
     probe: Duration::from_secs(1),
@@ -135,10 +136,15 @@
 
 /// Channels between the components of a node.
 struct Channels {
+    /// The plan in force; `None` until the first one was read.
     plan: watch::Sender<Option<Arc<Plan>>>,
+    /// The registered nodes, without this one.
     nodes: watch::Sender<Vec<directory::Node>>,
+    /// The nodes of the data centre as ranked, the coordinator first.
     ranked_nodes: watch::Sender<Vec<directory::Node>>,
+    /// Whether the endpoints were read from the source or another node.
     endpoints_known: watch::Sender<bool>,
+    /// The directory that is served to other nodes.
     snapshot: watch::Sender<Arc<Snapshot>>,
 }
 
@@ -420,7 +426,8 @@
     }
 }
 
-/// Applies changed budgets and quotas; other settings need a restart.
+/// Applies the changed retry budget and quota tolerance; other settings need a
+/// restart.
 fn apply_settings<D>(chain: &Chain<D>, settings: Option<Settings>) {
     let Some(settings) = settings else {
         tracing::error!("changed settings can't be used; the current ones stay in force");
@@ -428,7 +435,7 @@
     };
     lock(&chain.budget).set_limits(settings.retries);
     lock(&chain.limiter).set_tolerance(settings.quotas);
-    tracing::info!("settings reloaded: budgets and quotas; other changes need a restart");
+    tracing::info!("settings reloaded: `retries` and `quotas`; other changes need a restart");
 }
 
 /// Shuts down in an order that avoids interrupting requests: reports not
@@ -441,14 +448,16 @@
     serving: JoinHandle<()>,
 ) {
     let grace = settings.bounds.grace;
-    let notice = NOTICE.min(grace / NOTICE_DIVISOR);
+    let notice_period = NOTICE_PERIOD.min(grace / NOTICE_DIVISOR);
     phase.announce();
     tracing::info!("shutting down: reporting not ready");
-    tokio::join!(registration.deregister(), sleep(notice));
+    tokio::join!(registration.deregister(), sleep(notice_period));
     phase.drain();
     tracing::info!("shutting down: taking no new requests");
-    let left = grace.saturating_sub(notice).saturating_sub(GRACE_MARGIN);
-    let finished = timeout(left, serving).await;
+    let drain_timeout = grace
+        .saturating_sub(notice_period)
+        .saturating_sub(GRACE_MARGIN);
+    let finished = timeout(drain_timeout, serving).await;
     tracing::info!(whole = finished.is_ok(), "node stopped");
 }
 
--- a/gateway/src/peers.rs
+++ b/gateway/src/peers.rs
@@ -62,9 +62,13 @@
     address: SocketAddr,
     /// Whether it is in the data centre of this node.
     local: bool,
+    /// Identifies its process.
     incarnation: u64,
+    /// Number of the last heartbeat that was received from it.
     sequence: u64,
+    /// When that heartbeat was received; `None` before the first one.
     last_received: Option<time::Instant>,
+    /// Whether its heartbeats stopped.
     silent: bool,
     /// When the next heartbeat is to be sent to it.
     due: time::Instant,
@@ -94,8 +98,11 @@
 /// State of the actor.
 pub struct State<D> {
     arguments: Arguments<D>,
+    /// Identifies this process of the node.
     incarnation: u64,
+    /// Number of the last heartbeat that was sent.
     sequence: u64,
+    /// The other nodes: the registered ones and those that send heartbeats.
     peers: BTreeMap<id::Node, Peer>,
     registered: BTreeMap<id::Node, Node>,
     /// The coordinator of each data centre.
@@ -144,8 +151,8 @@
     }
 
     fn update_registered(&mut self, nodes: Vec<Node>) {
-        let by_name = nodes.iter();
-        self.registered = by_name
+        let registrations = nodes.iter();
+        self.registered = registrations
             .map(|node| (node.name.clone(), node.clone()))
             .collect();
         let now = self.now();
@@ -246,8 +253,8 @@
         if peer.incarnation == heartbeat.incarnation && heartbeat.sequence <= peer.sequence {
             return;
         }
-        let returned = peer.last_received.is_none() || peer.silent;
-        if returned || peer.incarnation != heartbeat.incarnation {
+        let became_live = peer.last_received.is_none() || peer.silent;
+        if became_live || peer.incarnation != heartbeat.incarnation {
             tracing::info!(
                 node = %heartbeat.node,
                 address = %from,
@@ -263,7 +270,7 @@
         peer.silent = false;
         if !known {
             self.update_members();
-        } else if returned {
+        } else if became_live {
             self.elect_coordinators();
         }
         let chain = &self.arguments.chain;
--- a/gateway/src/settings.rs
+++ b/gateway/src/settings.rs
@@ -28,11 +28,12 @@
     pub listen: Listen,
     /// Address of the key-value service.
     pub store: String,
-    /// Nodes to fetch the directory from while the store is unavailable.
+    /// Nodes to fetch the directory from while the key-value service is
+    /// unavailable.
     pub seeds: Vec<SocketAddr>,
     /// Upper bounds of times.
     pub bounds: Bounds,
-    /// Budget of retries.
+    /// Retry budget.
     pub retries: budget::Limits,
     /// Excess over a quota that is tolerated.
     pub quotas: quota::Tolerance,
@@ -59,7 +60,7 @@
     /// Longest time after an endpoint announced that it leaves until it gets no
     /// more requests.
     pub drain: Duration,
-    /// Longest time after a plan was accepted until it is in force.
+    /// Longest time after the platform accepted a plan until it is in force.
     pub apply: Duration,
     /// Time within which the process has to exit.
     pub grace: Duration,
@@ -119,7 +120,8 @@
     window_s: f64,
 }
 
-/// Validates the fields of a settings file and collects every fault.
+/// Validates the fields of a settings file and collects every fault; a faulty
+/// field gets a placeholder value, as the settings are then rejected.
 #[derive(Default)]
 struct Check {
     faults: Vec<Fault>,
