--- a/gateway/src/events.rs
+++ b/gateway/src/events.rs
@@ -27,7 +27,7 @@
 /// An event is larger than the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("an event is larger than {MAX_EVENT_BYTES} bytes; check the endpoint")]
-pub struct TooLong;
+pub struct TooLarge;
 
 impl Splitter {
     /// Takes the next bytes; returns the events that ended in them.
@@ -35,14 +35,14 @@
     /// # Errors
     ///
     /// Fails if an event is too large to be buffered.
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Batch>, TooLong> {
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<Option<Batch>, TooLarge> {
         // A blank line, `\r\n\r\n` at the longest, may start in the bytes of
         // earlier calls.
         let search_start = self.buffer.len().saturating_sub(3);
         self.buffer.extend_from_slice(bytes);
         let Some(end) = last_event_end(&self.buffer, search_start) else {
             if self.buffer.len() > MAX_EVENT_BYTES {
-                return Err(TooLong);
+                return Err(TooLarge);
             }
             return Ok(None);
         };
@@ -94,20 +94,22 @@
     std::str::from_utf8(value).ok()?.trim().parse().ok()
 }
 
-/// Returns the end of the last blank line that ends after
-/// `search_start`.
+/// Returns the end of the last blank line that ends after `search_start`; `None`
+/// if there is none.
 fn last_event_end(bytes: &[u8], search_start: usize) -> Option<usize> {
     let mut end = bytes.len();
     while end > search_start {
-        let line = bytes[..end].iter().rposition(|byte| *byte == b'\n')?;
-        if line < search_start {
+        let newline = bytes[..end].iter().rposition(|byte| *byte == b'\n')?;
+        if newline < search_start {
             return None;
         }
-        let before = bytes[..line].strip_suffix(b"\r").unwrap_or(&bytes[..line]);
+        let before = bytes[..newline]
+            .strip_suffix(b"\r")
+            .unwrap_or(&bytes[..newline]);
         if before.last() == Some(&b'\n') {
-            return Some(line + 1);
+            return Some(newline + 1);
         }
-        end = line;
+        end = newline;
     }
     None
 }
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,8 +1,8 @@
 //! The gateway: forwards requests of callers to endpoints along the routes of
 //! one plan, with quotas and retry budgets that all nodes share.
 //!
-//! This crate decides, keeps state and recovers from failures. The header
-//! format and the store of the directory are pluggable, through
+//! This crate makes the decisions, keeps the state and handles failures. The
+//! header format and the store of the directory are pluggable, through
 //! implementations of [`dialect::Dialect`] and [`directory::Source`].
 
 pub mod admission;
--- a/gateway/tests/test_events.rs
+++ b/gateway/tests/test_events.rs
@@ -1,4 +1,4 @@
-//! Splitting of streams into whole events.
+//! Splitting of streams into complete events.
 
 use dottereltally_gateway::events::Splitter;
 use rstest::rstest;
