--- a/node/src/authenticate.rs
+++ b/node/src/authenticate.rs
@@ -28,7 +28,7 @@
     match rules.workspace(key.trim().as_bytes()) {
         Some(workspace) => Ok(workspace.clone()),
         None => Err(unauthenticated(
-            "the key does not belong to any workspace; check it or have its digest added to the configuration",
+            "the key belongs to no workspace; check it or have its digest added to the operators' text",
         )),
     }
 }
--- a/node/src/body.rs
+++ b/node/src/body.rs
@@ -14,7 +14,7 @@
 /// The response ended early; its connection is closed so that the caller can
 /// detect it.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-#[display("the endpoint's response was cut short; send the request again if it is idempotent")]
+#[display("the endpoint's answer was cut short; send the request again if it is idempotent")]
 pub struct Cut;
 
 type Stream = Pin<Box<dyn http_body::Body<Data = Bytes, Error = Cut> + Send>>;
--- a/node/src/claim.rs
+++ b/node/src/claim.rs
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Lost {
     /// The attempt that held the claim has completed with this response.
-    #[error("the call has already completed; use the stored response")]
+    #[error("the call was answered before; use the answer that was kept")]
     Replay(Response),
     /// Another attempt holds the claim and has not ended.
     #[error("the call is running; send it again with the same key after {retry_after:?}")]
@@ -77,16 +77,16 @@
         retry_after: Duration,
     },
     /// Another attempt held the claim and its response is not available.
-    #[error("the call may have run; check its effects before sending it with another key")]
+    #[error("the call may have run; look at its effects before sending it with another key")]
     Unknown {
         /// Time after which the caller should retry, if a retry can help.
         retry_after: Option<Duration>,
     },
     /// The key was used for a different request.
-    #[error("the idempotency key was used for a different request; use a new key")]
+    #[error("the idempotency key was used for another request; use a new key")]
     Mismatch,
     /// The key-value service is unavailable.
-    #[error("the key-value service is unavailable; retry with the same key after {retry_after:?}")]
+    #[error("no claim can be taken: send the call again with the same key after {retry_after:?}")]
     Away {
         /// Time after which the caller should retry.
         retry_after: Duration,
--- a/node/src/claim/breaker.rs
+++ b/node/src/claim/breaker.rs
@@ -92,12 +92,12 @@
     pub(super) fn register(&self, registry: &mut Registry) {
         registry.register(
             "claim_breaker_openings",
-            "Times that the claim breaker opened because the service was unavailable",
+            "Times that claims began to be refused because the service was away",
             self.openings.clone(),
         );
         registry.register(
             "claim_breaker_trials",
-            "Reads that tested whether the service was available again",
+            "Reads that tried whether the service was back",
             self.trials.clone(),
         );
     }
--- a/node/src/claim/counters.rs
+++ b/node/src/claim/counters.rs
@@ -33,16 +33,16 @@
     /// Registers the counters.
     pub fn register(&self, registry: &mut Registry) {
         let all = [
-            ("taken", "Claims that were acquired", &self.taken),
+            ("taken", "Claims that were taken", &self.taken),
             (
                 "taken_over",
-                "Claims taken over from abandoned attempts",
+                "Claims taken over from attempts that were given up",
                 &self.taken_over,
             ),
-            ("released", "Claims that were released", &self.released),
+            ("released", "Claims that were given back", &self.released),
             (
                 "transactions",
-                "Claiming transactions that were sent",
+                "Transactions that were sent",
                 &self.transactions,
             ),
             (
@@ -50,34 +50,26 @@
                 "Transactions repeated because their answer was lost",
                 &self.repeated,
             ),
-            (
-                "replayed",
-                "Calls answered with the stored response of an earlier attempt",
-                &self.replayed,
-            ),
-            (
-                "running",
-                "Calls whose claim was held by a running attempt",
-                &self.running,
-            ),
+            ("replayed", "Answers that were given again", &self.replayed),
+            ("running", "Calls that met a running attempt", &self.running),
             (
                 "unknown",
-                "Calls whose claim was held by an attempt without an available response",
+                "Calls that met an attempt whose answer can't be had",
                 &self.unknown,
             ),
             (
                 "mismatched",
-                "Calls whose key was used for a different request",
+                "Calls whose key was used for another request",
                 &self.mismatched,
             ),
             (
                 "away",
-                "Calls refused because the key-value service was unavailable",
+                "Calls refused because the key-value service was away",
                 &self.away,
             ),
             (
                 "expired",
-                "Claims held for too long before dispatch",
+                "Claims that were not used in time",
                 &self.expired,
             ),
         ];
--- a/node/src/classify.rs
+++ b/node/src/classify.rs
@@ -60,7 +60,7 @@
 ) -> Result<Candidates<'a>, Problem> {
     if has_dot_segment(uri.path()) {
         return Err(malformed(
-            "the path has a `.` or `..` segment; send the normalized path".to_owned(),
+            "the path has a `.` or `..` segment; send it without".to_owned(),
         ));
     }
     let mut calls = Vec::new();
@@ -81,7 +81,7 @@
         StatusCode::NOT_FOUND
     };
     let detail = format!(
-        "no configured call matches {method} {}; check the method and path",
+        "no call of the operators' text matches {method} {}; check the method and path",
         uri.path()
     );
     Err(Problem::unread(status, Reason::NoCall, detail))
@@ -167,7 +167,7 @@
             ))),
             Ok(prompt) => Ok(Some(prompt)),
             Err(error) => Err(malformed(format!(
-                "the body is not a valid OpenAI-style JSON request: {error}; correct it"
+                "the body is no OpenAI-style JSON: {error}; correct it"
             ))),
         }
     }
@@ -208,9 +208,9 @@
 fn unknown_model(model: Option<&str>) -> Problem {
     let detail = match model {
         Some(model) => {
-            format!("no configured call serves the model `{model}`; name a configured model")
+            format!("no call serves the model `{model}`; name a model of the operators' text")
         }
-        None => "the request does not name a model; set `model` in the body".to_owned(),
+        None => "the request names no model; set `model` in the body".to_owned(),
     };
     Problem::unread(StatusCode::NOT_FOUND, Reason::NoCall, detail)
 }
@@ -239,7 +239,7 @@
             "`{TIER_HEADER}` asks for a higher tier than the call has; ask for a lower one or leave it out"
         ))),
         None => Err(malformed(format!(
-            "`{TIER_HEADER}` does not name a tier; use one of: {}",
+            "`{TIER_HEADER}` names no tier; use one of: {}",
             configuration.tiers.join(", ")
         ))),
     }
@@ -262,7 +262,7 @@
             humantime::format_duration(configured)
         ))),
         None => Err(malformed(format!(
-            "`{DEADLINE_HEADER}` is not a valid duration; write it in a form such as `5s`"
+            "`{DEADLINE_HEADER}` is no duration; write it such as `5s`"
         ))),
     }
 }
--- a/node/src/configuration/counters.rs
+++ b/node/src/configuration/counters.rs
@@ -42,17 +42,17 @@
             ("taken", "Configurations put in force", &self.taken),
             (
                 "passed_over",
-                "Configurations ignored: generation not higher",
+                "Configurations passed over: generation not higher",
                 &self.passed_over,
             ),
             (
                 "invalid",
-                "Configurations ignored: text invalid",
+                "Configurations passed over: text invalid",
                 &self.invalid,
             ),
             (
                 "unreadable",
-                "Values of the configuration's key that could not be decoded",
+                "Values of the key that were not a configuration",
                 &self.unreadable,
             ),
             ("reads", "Reads of the key-value service", &self.reads),
@@ -63,11 +63,7 @@
                 "Watches replaced because they had missed a change",
                 &self.silent_watches,
             ),
-            (
-                "fetches",
-                "Requests to peers for a newer configuration",
-                &self.fetches,
-            ),
+            ("fetches", "Requests to peers", &self.fetches),
         ];
         for (name, help, counter) in all {
             registry.register(format!("configuration_{name}"), help, counter.clone());
--- a/node/src/dispatch.rs
+++ b/node/src/dispatch.rs
@@ -311,19 +311,19 @@
     let (status, detail) = match reason {
         Reason::DeadlinePassed => (
             StatusCode::GATEWAY_TIMEOUT,
-            "the deadline passed before the response was complete; allow more time",
+            "the deadline passed before the answer came; allow more time",
         ),
         Reason::Stalled => (
             StatusCode::GATEWAY_TIMEOUT,
-            "the endpoint stopped responding; send the request again if it is idempotent",
+            "the endpoint fell silent; send the request again if it is idempotent",
         ),
         Reason::Crossed => (
             StatusCode::BAD_GATEWAY,
-            "the endpoint responded to another request; send this request again if it is idempotent",
+            "the endpoint answered another request; send this one again if it is idempotent",
         ),
         Reason::AnswerTooLarge => (
             StatusCode::BAD_GATEWAY,
-            "the response is larger than `limits.body`; request less or raise the limit",
+            "the answer is over the limit that can be kept; ask for less or raise `limits.body`",
         ),
         _ => (
             StatusCode::BAD_GATEWAY,
--- a/node/src/filter.rs
+++ b/node/src/filter.rs
@@ -212,7 +212,7 @@
                 &request.abandon(),
                 StatusCode::BAD_REQUEST,
                 Reason::NoKey,
-                "the call is not idempotent; send it with a unique `idempotency-key`",
+                "the call is not idempotent; send it with an `idempotency-key` of its own",
             );
             return Err(refuse(problem));
         };
@@ -292,7 +292,7 @@
             return Err(Problem::unread(
                 StatusCode::BAD_REQUEST,
                 Reason::Malformed,
-                "the body is incomplete; send the request again",
+                "the body broke off; send the request again",
             ));
         };
         let Ok(data) = frame.into_data() else {
@@ -316,7 +316,7 @@
     Problem::unread(
         StatusCode::PAYLOAD_TOO_LARGE,
         Reason::TooLarge,
-        format!("the body is larger than {limit} bytes; send a smaller one"),
+        format!("the body is over {limit} bytes; send a smaller one"),
     )
 }
 
@@ -337,7 +337,7 @@
     Err(Problem::unread(
         StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
         Reason::TooLarge,
-        format!("the head is larger than {limit} bytes; send fewer or shorter headers"),
+        format!("the head is over {limit} bytes; send fewer or shorter headers"),
     ))
 }
 
--- a/node/src/idempotency.rs
+++ b/node/src/idempotency.rs
@@ -77,7 +77,7 @@
             StatusCode::BAD_REQUEST,
             Reason::Malformed,
             format!(
-                "`{KEY_HEADER}` must be sent once, with 1 to {MAX_KEY_BYTES} visible ASCII characters; correct the header"
+                "`{KEY_HEADER}` must be sent once, with 1 to {MAX_KEY_BYTES} visible ASCII characters; correct it"
             ),
         )),
     }
@@ -132,7 +132,7 @@
     Problem::may_have_run(
         StatusCode::CONFLICT,
         Reason::Claimed,
-        "the claim was held for so long that it may have expired; send the call again with the same key",
+        "the claim was held for too long to rely on it; send the call again with the same key",
     )
     .retry_after(RETRY_AFTER)
 }
--- a/node/src/limit.rs
+++ b/node/src/limit.rs
@@ -52,7 +52,7 @@
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
         let count = counts.entry(workspace.clone()).or_default();
         if limit.is_some_and(|limit| *count >= limit) {
-            let detail = "the workspace has reached its limit of concurrent requests; send the request again when others have ended";
+            let detail = "the workspace has reached its limit of requests at a time; send the request again when others have ended";
             let problem = Problem::unread(
                 StatusCode::TOO_MANY_REQUESTS,
                 Reason::Core(dottereltally_lib::refusal::Reason::Limit),
--- a/node/src/membership.rs
+++ b/node/src/membership.rs
@@ -56,19 +56,11 @@
     pub fn register(&self, registry: &mut Registry) {
         let membership = registry.sub_registry_with_prefix("membership");
         membership.register("members", "Live nodes", self.members.clone());
-        membership.register(
-            "rounds",
-            "Gossip rounds that were started",
-            self.rounds.clone(),
-        );
-        membership.register(
-            "changes",
-            "Changes of the set of live nodes",
-            self.changes.clone(),
-        );
+        membership.register("rounds", "Rounds of exchanges", self.rounds.clone());
+        membership.register("changes", "Changes of the live nodes", self.changes.clone());
         membership.register(
             "fingerprints",
-            "Fingerprints of crashing requests received from peers",
+            "Fingerprints of crashing requests learnt from peers",
             self.fingerprints.clone(),
         );
     }
--- a/node/src/observer.rs
+++ b/node/src/observer.rs
@@ -58,7 +58,7 @@
         );
         observer.register(
             "load_page_bytes",
-            "Bytes of load pages, without HTTP headers",
+            "Bytes of load pages, without HTTP heads",
             self.bytes.clone(),
         );
         observer.register("cache_events", "Cache events received", self.events.clone());
--- a/node/src/operations.rs
+++ b/node/src/operations.rs
@@ -87,7 +87,7 @@
             Err(error) => page(
                 StatusCode::INTERNAL_SERVER_ERROR,
                 TEXT,
-                format!("the metrics can't be encoded: {error}; report this as a bug\n"),
+                format!("the metrics can't be encoded: {error}; report this\n"),
             ),
         }
     }
@@ -98,7 +98,7 @@
             Err(error) => page(
                 StatusCode::INTERNAL_SERVER_ERROR,
                 TEXT,
-                format!("the status can't be encoded: {error}; report this as a bug\n"),
+                format!("the status can't be encoded: {error}; report this\n"),
             ),
         }
     }
--- a/node/src/peer/metrics.rs
+++ b/node/src/peer/metrics.rs
@@ -47,7 +47,7 @@
         );
         peer.register(
             "connections_replaced",
-            "Connections discarded because a call on them failed or timed out",
+            "Connections given up because a call on them failed",
             self.replaced.clone(),
         );
         peer.register(
@@ -67,12 +67,12 @@
         );
         peer.register(
             "malformed",
-            "Malformed messages from peers",
+            "Messages of peers that could not be understood",
             self.malformed.clone(),
         );
         peer.register(
             "admission_dropped",
-            "Admission messages dropped because the queue for the peer was full",
+            "Admission messages dropped because the peer did not keep up",
             self.dropped.clone(),
         );
         peer.register(
--- a/node/src/problem.rs
+++ b/node/src/problem.rs
@@ -141,11 +141,11 @@
         let (status, detail) = match refusal.reason {
             refusal::Reason::Overload => (
                 StatusCode::SERVICE_UNAVAILABLE,
-                "the service is fully used by more urgent requests; send the request again after the given time",
+                "more urgent work fills the service; send the request again after the given time",
             ),
             refusal::Reason::Deadline => (
                 StatusCode::SERVICE_UNAVAILABLE,
-                "the request can't be completed before its deadline; send it again after the given time or allow more time",
+                "the request can't be answered before its deadline; send it again after the given time or allow more time",
             ),
             refusal::Reason::NoEndpoint => (
                 StatusCode::SERVICE_UNAVAILABLE,
@@ -157,7 +157,7 @@
             ),
             refusal::Reason::Quarantine => (
                 StatusCode::UNPROCESSABLE_ENTITY,
-                "endpoints crashed while they ran this request; do not send it again unchanged",
+                "endpoints died while they ran this request; do not send it again unchanged",
             ),
             refusal::Reason::Shutdown => (
                 StatusCode::SERVICE_UNAVAILABLE,
--- a/node/src/stream.rs
+++ b/node/src/stream.rs
@@ -268,7 +268,7 @@
 /// middle.
 fn error_event(reason: Reason) -> Bytes {
     let event = format!(
-        "\n\ndata: {{\"error\": {{\"type\": \"{reason}\", \"message\": \"the response was cut short and is incomplete\", \"run\": \"may-have-run\"}}}}\n\n"
+        "\n\ndata: {{\"error\": {{\"type\": \"{reason}\", \"message\": \"the answer was cut short; what came is not whole\", \"run\": \"may-have-run\"}}}}\n\n"
     );
     Bytes::from(event)
 }
