--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use dottereltally::{
     answer::is_event_stream,
-    dispatch::strip_hop,
+    dispatch::strip_hop_by_hop,
     pool::Answer,
     upstream::{Client, Failure, Message, Reuse},
 };
@@ -320,7 +320,7 @@
     if parts.headers.contains_key(CONTENT_ENCODING) {
         return broken(permit, "the answer has a content encoding");
     }
-    strip_hop(&mut parts.headers);
+    strip_hop_by_hop(&mut parts.headers);
     if success && job.route.streaming && is_event_stream(&parts.headers) {
         parts.headers.remove(CONTENT_LENGTH);
         return read_first_events(parts, body, permit, (first_event_deadline, deadline)).await;
--- a/gateway/src/chain.rs
+++ b/gateway/src/chain.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use dottereltally::{
-    body::Body, clock::Clock, dispatch::strip_hop, filter, pool::Pool, problem::Reason,
+    body::Body, clock::Clock, dispatch::strip_hop_by_hop, filter, pool::Pool, problem::Reason,
     shutdown::Phase,
 };
 use dottereltally_lib::{
@@ -722,7 +722,7 @@
 /// headers and `Expect`.
 #[must_use]
 pub fn end_to_end_headers(mut headers: HeaderMap) -> HeaderMap {
-    strip_hop(&mut headers);
+    strip_hop_by_hop(&mut headers);
     headers.remove(EXPECT);
     headers
 }
--- a/node/src/address.rs
+++ b/node/src/address.rs
@@ -37,7 +37,7 @@
 
     /// Returns whether a host list has been loaded.
     #[must_use]
-    pub fn is_read(&self) -> bool {
+    pub fn is_loaded(&self) -> bool {
         self.loaded.load(Ordering::Acquire)
     }
 
@@ -80,7 +80,7 @@
 
     /// Returns a function that looks up addresses in this book.
     #[must_use]
-    pub fn resolve(&self) -> Resolve {
+    pub fn resolver(&self) -> Resolve {
         let book = self.clone();
         Arc::new(move |endpoint| book.get(endpoint))
     }
--- a/node/src/answer.rs
+++ b/node/src/answer.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     body::Body,
-    dispatch::{CORRELATION, Running, failure, strip_hop},
+    dispatch::{CORRELATION_HEADER, Running, failure, strip_hop_by_hop},
     dispatcher::Handle,
     problem::{Problem, Reason},
     server::REQUEST_HEADER,
@@ -136,8 +136,8 @@
 
 /// Removes headers that must not reach the caller and adds the request header.
 fn rewrite_headers(parts: &mut Parts, request: id::Request) {
-    strip_hop(&mut parts.headers);
-    for name in [CORRELATION, LOAD_HEADER, REQUEST_HEADER] {
+    strip_hop_by_hop(&mut parts.headers);
+    for name in [CORRELATION_HEADER, LOAD_HEADER, REQUEST_HEADER] {
         parts.headers.remove(name);
     }
     parts
--- a/node/src/dispatch.rs
+++ b/node/src/dispatch.rs
@@ -31,7 +31,7 @@
 };
 
 /// Header that correlates a response with its request.
-pub const CORRELATION: &str = "x-request-id";
+pub const CORRELATION_HEADER: &str = "x-request-id";
 
 /// Hop-by-hop headers (RFC 9110), which are not forwarded.
 const HOP_BY_HOP: [HeaderName; 8] = [
@@ -53,7 +53,7 @@
     CONTENT_LENGTH,
     EXPECT,
     HOST,
-    HeaderName::from_static(CORRELATION),
+    HeaderName::from_static(CORRELATION_HEADER),
     HeaderName::from_static(classify::TIER_HEADER),
     HeaderName::from_static(classify::DEADLINE_HEADER),
 ];
@@ -132,7 +132,7 @@
 }
 
 /// Removes the hop-by-hop headers, those named by `connection` included.
-pub fn strip_hop(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let mut named = Vec::new();
     for value in headers.get_all(CONNECTION) {
         for name in value.to_str().unwrap_or_default().split(',') {
@@ -149,11 +149,11 @@
 /// Builds the request to the endpoint from the caller's request.
 #[must_use]
 pub fn message(mut parts: Parts, body: Bytes, correlation: HeaderValue) -> Message {
-    strip_hop(&mut parts.headers);
+    strip_hop_by_hop(&mut parts.headers);
     for name in &NOT_FORWARDED {
         parts.headers.remove(name);
     }
-    parts.headers.insert(CORRELATION, correlation);
+    parts.headers.insert(CORRELATION_HEADER, correlation);
     let target = parts.uri.path_and_query().cloned();
     parts.uri = target.map_or_else(http::Uri::default, http::Uri::from);
     parts.version = http::Version::HTTP_11;
@@ -222,7 +222,7 @@
     if let Ok(host) = HeaderValue::from_str(&address) {
         message.headers_mut().insert(HOST, host);
     }
-    let correlation = message.headers().get(CORRELATION).cloned();
+    let correlation = message.headers().get(CORRELATION_HEADER).cloned();
     let reuse = if admitted.profile().idempotent {
         Reuse::Idle
     } else {
@@ -260,7 +260,7 @@
         Ok(Err(Failure::Broken(_))) => return Err(broken(tracker)),
         Err(_) => return Err(timed_out(tracker, &limits)),
     };
-    let echo = response.headers().get(CORRELATION);
+    let echo = response.headers().get(CORRELATION_HEADER);
     if echo.is_some() && echo != correlation.as_ref() {
         return Err(mismatched(tracker));
     }
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -117,7 +117,7 @@
             rules: controllers.rules.clone(),
             places: requests.clone(),
             dispatcher: controllers.dispatcher.clone(),
-            resolve: controllers.book.resolve(),
+            resolve: controllers.book.resolver(),
             upstream: Pool::default(),
             keeper: controllers.keeper.clone(),
             metrics,
--- a/node/src/state.rs
+++ b/node/src/state.rs
@@ -56,6 +56,6 @@
 
     fn is_ready(&self) -> bool {
         let configured = self.rules.borrow().is_some();
-        configured && self.book.is_read() && !self.phase.is_announced()
+        configured && self.book.is_loaded() && !self.phase.is_announced()
     }
 }
--- a/node/tests/chain/mod.rs
+++ b/node/tests/chain/mod.rs
@@ -17,7 +17,7 @@
     body::Body,
     claim,
     clock::Clock,
-    dispatch::CORRELATION,
+    dispatch::CORRELATION_HEADER,
     dispatcher::{Handle, Refused},
     filter::Chain,
     limit::Table,
@@ -213,7 +213,7 @@
                 cause: "refused".to_owned(),
             });
         }
-        let request_correlation = message.headers().get(CORRELATION).cloned();
+        let request_correlation = message.headers().get(CORRELATION_HEADER).cloned();
         self.sent.lock().expect("unpoisoned").push(Sent {
             address: address.to_owned(),
             message,
@@ -242,7 +242,10 @@
             .correlation
             .map(|correlation| correlation.parse().expect("a value"))
             .or(request_correlation);
-        headers.insert(CORRELATION, correlation.expect("a correlation value"));
+        headers.insert(
+            CORRELATION_HEADER,
+            correlation.expect("a correlation value"),
+        );
         Ok(response)
     }
 }
--- a/node/tests/faulty/mod.rs
+++ b/node/tests/faulty/mod.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use dottereltally::{
-    dispatch::CORRELATION,
+    dispatch::CORRELATION_HEADER,
     upstream::{Broken, Client, Failure, Message, Reuse},
 };
 use http::{HeaderValue, Response, header::CONTENT_TYPE};
@@ -145,7 +145,7 @@
         _reuse: Reuse,
     ) -> Result<Response<Body>, Failure> {
         let (behaviour, events, seed) = self.draw();
-        let echo = message.headers()[CORRELATION].clone();
+        let echo = message.headers()[CORRELATION_HEADER].clone();
         let correlation = echo.to_str().expect("text").to_owned();
         self.record(behaviour, &message, &correlation);
         sleep(Duration::from_millis(seed % 20)).await;
@@ -188,7 +188,7 @@
             Behaviour::Crossed => HeaderValue::from_static(FOREIGN_CORRELATION),
             _ => echo,
         };
-        headers.insert(CORRELATION, echo);
+        headers.insert(CORRELATION_HEADER, echo);
         Ok(response)
     }
 }
