--- a/node/src/filter.rs
+++ b/node/src/filter.rs
@@ -28,7 +28,7 @@
     dispatch::{self, Context, Error, Unclaimed},
     dispatcher::{Handle, Resolve},
     idempotency::{self, Keeper},
-    limit::{Permit, Table},
+    limit::{Limiter, Permit},
     metrics::Metrics,
     problem::{Problem, Reason},
     rules::{self, Rules},
@@ -53,7 +53,7 @@
     /// The rules in force.
     pub rules: rules::Receiver,
     /// Counts the requests of each workspace.
-    pub places: Table,
+    pub limiter: Limiter,
     /// Handle of the decision core.
     pub dispatcher: D,
     /// Looks up the addresses of endpoints.
@@ -64,8 +64,8 @@
     pub keeper: K,
     /// The counters.
     pub metrics: Metrics,
-    /// The number of the next attempt.
-    pub next: AtomicU64,
+    /// The number of the next request.
+    pub next_request: AtomicU64,
 }
 
 /// A refusal, with the tier of the request if it is known.
@@ -103,7 +103,7 @@
     where
         B: http_body::Body<Data = Bytes> + Unpin + Send,
     {
-        let id = id::Request(self.next.fetch_add(1, Ordering::Relaxed));
+        let id = id::Request(self.next_request.fetch_add(1, Ordering::Relaxed));
         let outcome = match self.accept(id, request).await {
             Ok(accepted) => Arc::clone(&self).run(accepted).await,
             Err(refused) => Err(refused),
@@ -158,7 +158,7 @@
             .classify(&rules, workspace, &parts, &body, received)
             .map_err(run_unknown)?;
         let profile = Arc::clone(&class.profile);
-        let permit = self.places.acquire(&profile.workspace, limit);
+        let permit = self.limiter.acquire(&profile.workspace, limit);
         let permit = permit.map_err(|problem| Refused {
             tier: Some(profile.tier),
             problem: if profile.idempotent {
--- a/node/src/limit.rs
+++ b/node/src/limit.rs
@@ -17,7 +17,7 @@
 
 /// Counts the requests in this node by workspace; clones share the counts.
 #[derive(Clone, Debug)]
-pub struct Table {
+pub struct Limiter {
     counts: Arc<Mutex<HashMap<id::Workspace, u32>>>,
     total: Arc<watch::Sender<usize>>,
 }
@@ -25,11 +25,11 @@
 /// Counts one request against the limit of its workspace until it is dropped.
 #[derive(Debug)]
 pub struct Permit {
-    table: Table,
+    limiter: Limiter,
     workspace: id::Workspace,
 }
 
-impl Default for Table {
+impl Default for Limiter {
     fn default() -> Self {
         Self {
             counts: Arc::default(),
@@ -38,7 +38,7 @@
     }
 }
 
-impl Table {
+impl Limiter {
     /// Counts a request until the returned permit is dropped.
     ///
     /// # Errors
@@ -64,7 +64,7 @@
         drop(counts);
         self.total.send_modify(|total| *total += 1);
         Ok(Permit {
-            table: self.clone(),
+            limiter: self.clone(),
             workspace: workspace.clone(),
         })
     }
@@ -76,7 +76,7 @@
     }
 
     /// Waits until this node has no requests.
-    pub async fn idle(&self) {
+    pub async fn wait_idle(&self) {
         let mut total = self.total.subscribe();
         let _ = total.wait_for(|total| *total == 0).await;
     }
@@ -85,7 +85,7 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         let mut counts = self
-            .table
+            .limiter
             .counts
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
@@ -96,6 +96,6 @@
             }
         }
         drop(counts);
-        self.table.total.send_modify(|total| *total -= 1);
+        self.limiter.total.send_modify(|total| *total -= 1);
     }
 }
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -22,7 +22,7 @@
     controllers::{Base, Controllers},
     dispatcher::Handle,
     filter::Chain,
-    limit::Table,
+    limit::Limiter,
     metrics::Metrics,
     operations::Pages,
     pool::Pool,
@@ -77,9 +77,9 @@
         .wrap_err_with(|| format!("can't listen on {address}; change `listen.{field}`"))
 }
 
-/// Returns the number of the first attempt, higher than those of earlier
+/// Returns the number of the first request, higher than those of earlier
 /// processes of the node as long as the wall clock is not set back.
-fn first_attempt_number() -> u64 {
+fn first_request_number() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     u64::try_from(since.unwrap_or_default().as_micros()).unwrap_or_default()
 }
@@ -88,7 +88,7 @@
 struct Servers {
     callers: JoinHandle<()>,
     operations: JoinHandle<()>,
-    requests: Table,
+    limiter: Limiter,
     stop: watch::Sender<bool>,
 }
 
@@ -107,7 +107,7 @@
             head_timeout: settings.limits.head_timeout,
             write_timeout: settings.limits.inactivity,
         };
-        let requests = Table::default();
+        let limiter = Limiter::default();
         let metrics = Metrics::default();
         metrics.register(&mut registry);
         let chain = Arc::new(Chain {
@@ -115,13 +115,13 @@
             limits: settings.limits.clone(),
             clock,
             rules: controllers.rules.clone(),
-            places: requests.clone(),
+            limiter: limiter.clone(),
             dispatcher: controllers.dispatcher.clone(),
             resolve: controllers.book.resolver(),
             upstream: Pool::default(),
             keeper: controllers.keeper.clone(),
             metrics,
-            next: AtomicU64::new(first_attempt_number()),
+            next_request: AtomicU64::new(first_request_number()),
         });
         let handler = move |request| Arc::clone(&chain).serve(request);
         let callers = server::serve(callers, limits, phase.draining(), handler);
@@ -145,7 +145,7 @@
         Self {
             callers: tokio::spawn(callers),
             operations: tokio::spawn(operations),
-            requests,
+            limiter,
             stop,
         }
     }
@@ -199,10 +199,10 @@
     tracing::info!("shutting down: no new requests");
     let finishing = async {
         let _ = (&mut servers.callers).await;
-        servers.requests.idle().await;
+        servers.limiter.wait_idle().await;
     };
     if timeout(settings.shutdown.grace, finishing).await.is_err() {
-        let requests = servers.requests.total();
+        let requests = servers.limiter.total();
         tracing::warn!(
             requests,
             "shutting down: the grace period ended with requests still running"
--- a/node/tests/test_filter.rs
+++ b/node/tests/test_filter.rs
@@ -328,7 +328,7 @@
     drop(response);
     harness.endpoints.cancelled.notified().await;
     assert_eq!(harness.outcomes(), [Outcome::Cancelled]);
-    assert_eq!(harness.chain.places.total(), 0);
+    assert_eq!(harness.chain.limiter.total(), 0);
 }
 
 #[rstest]
@@ -489,6 +489,6 @@
     let serving = Arc::clone(&harness.chain).serve(request("GET", "/tickets/1", ""));
     let waited = tokio::time::timeout(Duration::from_millis(10), serving).await;
     assert!(waited.is_err());
-    assert_eq!(harness.chain.places.total(), 0);
+    assert_eq!(harness.chain.limiter.total(), 0);
     assert!(harness.sent().is_empty());
 }
--- a/node/tests/test_path_random.rs
+++ b/node/tests/test_path_random.rs
@@ -21,7 +21,7 @@
     clock::Clock,
     dispatcher::{Arguments, Dispatcher, Handle, Sender, Sink},
     filter::Chain,
-    limit::Table,
+    limit::Limiter,
     metrics::Metrics,
     replay::Attempts,
     rules::Rules,
@@ -151,13 +151,13 @@
         limits: Limits::default(),
         clock,
         rules: tokio::sync::watch::channel(Some(Arc::new(rules))).1,
-        places: Table::default(),
+        limiter: Limiter::default(),
         dispatcher: start_dispatcher(clock, seed).await,
         resolve: Arc::new(|endpoint| Some(endpoint.to_string())),
         upstream: endpoints.clone(),
         keeper,
         metrics,
-        next: AtomicU64::new(1),
+        next_request: AtomicU64::new(1),
     })
 }
 
@@ -336,7 +336,7 @@
     for call in calls {
         call.await.expect("no caller panics");
     }
-    subject.places.idle().await;
+    subject.limiter.wait_idle().await;
     let history = endpoints.history.lock().expect("unpoisoned");
     let mut content = String::new();
     encode(&mut content, &registry).expect("metrics encode");
