--- a/node/src/controllers.rs
+++ b/node/src/controllers.rs
@@ -22,9 +22,8 @@
     clock::Clock,
     configuration::{self, Controller},
     dispatcher::{self, Dispatcher, Handle, Sender},
-    hosts, membership, observer,
-    outlet::Outlet,
-    peer, replay, rules,
+    effects::Executor,
+    hosts, membership, observer, peer, replay, rules,
     service::Service,
     settings::Settings,
 };
@@ -107,14 +106,14 @@
     pub async fn start(base: Base, registry: &mut Registry) -> eyre::Result<Self> {
         let book = Book::default();
         let membership_cell = Arc::new(OnceLock::new());
-        let outlet = Outlet {
+        let executor = Executor {
             book: book.clone(),
             peers: base.peers.clone(),
             membership: Arc::clone(&membership_cell),
-            marks: Counter::default(),
+            quarantine_marks: Counter::default(),
         };
-        outlet.register(registry);
-        let (dispatcher, dispatcher_task) = start_dispatcher(&base, outlet).await?;
+        executor.register(registry);
+        let (dispatcher, dispatcher_task) = start_dispatcher(&base, executor).await?;
         base.service.connect(dispatcher.clone());
         let rules = start_configuration(&base, &dispatcher, registry).await?;
         let keeper = start_keeper(&base, registry);
@@ -134,7 +133,10 @@
     }
 }
 
-async fn start_dispatcher(base: &Base, outlet: Outlet) -> eyre::Result<(Sender, JoinHandle<()>)> {
+async fn start_dispatcher(
+    base: &Base,
+    executor: Executor,
+) -> eyre::Result<(Sender, JoinHandle<()>)> {
     let arguments = dispatcher::Arguments {
         core: Scheduler::new(scheduler::Settings {
             node: base.settings.node.clone(),
@@ -143,7 +145,7 @@
             ..scheduler::Settings::default()
         }),
         clock: base.clock,
-        sink: Box::new(outlet),
+        sink: Box::new(executor),
     };
     let (actor, task) = Actor::spawn(None, Dispatcher, arguments).await?;
     Ok((Sender::new(actor, base.clock), task))
--- a/node/src/outlet.rs
+++ b/node/src/effects.rs
@@ -18,7 +18,7 @@
 };
 
 /// Carries out the effects through the other parts of the node.
-pub struct Outlet {
+pub struct Executor {
     /// Addresses of the endpoints to probe.
     pub book: Book,
     /// Sends admission messages to the peers.
@@ -27,21 +27,21 @@
     /// runs.
     pub membership: Arc<OnceLock<membership::Handle>>,
     /// Counts the fingerprints that the core asked to spread.
-    pub marks: Counter,
+    pub quarantine_marks: Counter,
 }
 
-impl Outlet {
+impl Executor {
     /// Registers the counter.
     pub fn register(&self, registry: &mut Registry) {
         registry.register(
             "quarantine_marks",
             "Marks of requests in flight at an endpoint's death that were spread",
-            self.marks.clone(),
+            self.quarantine_marks.clone(),
         );
     }
 }
 
-impl Sink for Outlet {
+impl Sink for Executor {
     fn probe(&self, core: &Sender, endpoint: id::Endpoint) {
         let address = self.book.get(&endpoint);
         let core = core.clone();
@@ -55,7 +55,7 @@
     }
 
     fn quarantine(&self, fingerprint: id::Fingerprint) {
-        self.marks.inc();
+        self.quarantine_marks.inc();
         if let Some(membership) = self.membership.get() {
             membership.quarantine(fingerprint, quarantine::MARK_TTL);
         }
