--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -6,7 +6,7 @@
 use dottereltally::{
     answer::is_event_stream,
     dispatch::strip_hop_by_hop,
-    pool::Answer,
+    pool,
     upstream::{Client, Failure, Message, Reuse},
 };
 use dottereltally_lib::{
@@ -118,7 +118,7 @@
     /// The first events.
     pub first: Batch,
     /// The rest of the stream.
-    pub body: Answer,
+    pub body: pool::Body,
     /// Splits the stream into events; buffers the start of an unfinished one.
     pub splitter: Splitter,
     /// The permit, not yet ended.
@@ -290,7 +290,7 @@
     chain: &Chain<D>,
     job: &Job,
     choice: &Choice,
-    response: Response<Answer>,
+    response: Response<pool::Body>,
     permit: Permit,
     (first_event_deadline, deadline): (Instant, Instant),
 ) -> Attempt {
@@ -343,7 +343,7 @@
 
 async fn read_first_events(
     parts: response::Parts,
-    mut body: Answer,
+    mut body: pool::Body,
     permit: Permit,
     (first_event_deadline, deadline): (Instant, Instant),
 ) -> Attempt {
--- a/gateway/src/node.rs
+++ b/gateway/src/node.rs
@@ -86,9 +86,9 @@
 /// a connection that stopped responding must be detected well before callers give up.
 pub(crate) const UPSTREAM_LIMITS: pool::Limits = pool::Limits {
     connect: Duration::from_millis(250),
-    probe: Duration::from_secs(1),
-    probe_interval: Duration::from_secs(1),
-    unacknowledged: Duration::from_millis(1200),
+    keepalive_time: Duration::from_secs(1),
+    keepalive_interval: Duration::from_secs(1),
+    user_timeout: Duration::from_millis(1200),
     idle: Duration::from_secs(5),
 };
 
--- a/gateway/src/relay.rs
+++ b/gateway/src/relay.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use dottereltally::{
-    body::{Body, Cut},
-    pool::Answer,
+    body::{Body, Truncated},
+    pool,
 };
 use dottereltally_lib::{
     dispatcher::{Choice, Outcome, Timing},
@@ -52,7 +52,7 @@
 
 /// The endpoint's side of a stream; dropping it cancels the request there.
 struct Upstream {
-    body: Answer,
+    body: pool::Body,
     splitter: Splitter,
     permit: Permit,
     timing: Timing,
@@ -155,7 +155,7 @@
     }
 
     /// Returns the next events, an error if the stream is cut, `None` at its end.
-    async fn next(&mut self) -> Option<Result<Bytes, Cut>> {
+    async fn next(&mut self) -> Option<Result<Bytes, Truncated>> {
         if let Some(batch) = self.pending.take() {
             return Some(self.forward(batch).map_err(|cause| self.cut(&cause)));
         }
@@ -306,7 +306,7 @@
 
     /// Cuts the stream, so that the caller can distinguish it from a complete
     /// one.
-    fn cut(&mut self, cause: &str) -> Cut {
+    fn cut(&mut self, cause: &str) -> Truncated {
         self.upstream = None;
         self.chain.metrics.cut.inc();
         tracing::info!(
@@ -318,6 +318,6 @@
             cause,
             "stream cut"
         );
-        Cut
+        Truncated
     }
 }
--- a/gateway/src/rpc.rs
+++ b/gateway/src/rpc.rs
@@ -111,7 +111,7 @@
         };
         // Keepalive probes end the connection of a node that is gone, which
         // releases its slots at endpoints.
-        if let Err(error) = pool::watch(&stream, &UPSTREAM_LIMITS) {
+        if let Err(error) = pool::set_keepalive(&stream, &UPSTREAM_LIMITS) {
             tracing::debug!(%error, "connection of a node closed during setup");
             continue;
         }
@@ -164,7 +164,7 @@
 /// Connects to another node; must run in a local task set.
 pub(crate) async fn connect(address: SocketAddr) -> Result<Connection, Failure> {
     let stream = TcpStream::connect(address).await?;
-    pool::watch(&stream, &UPSTREAM_LIMITS)?;
+    pool::set_keepalive(&stream, &UPSTREAM_LIMITS)?;
     let network = stream::network(stream, Side::Client, &Metrics::default())?;
     let mut system = RpcSystem::new(Box::new(network), None);
     let client = system.bootstrap(Side::Server);
--- a/node/src/body.rs
+++ b/node/src/body.rs
@@ -15,9 +15,9 @@
 /// detect it.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("the endpoint's answer was cut short; send the request again if it is idempotent")]
-pub struct Cut;
+pub struct Truncated;
 
-type Stream = Pin<Box<dyn http_body::Body<Data = Bytes, Error = Cut> + Send>>;
+type Stream = Pin<Box<dyn http_body::Body<Data = Bytes, Error = Truncated> + Send>>;
 
 /// Body of a response: either known in full or streamed.
 pub struct Body(Kind);
@@ -37,7 +37,7 @@
     /// Builds a body that is streamed as its frames arrive.
     #[must_use]
     pub fn stream(
-        stream: impl http_body::Body<Data = Bytes, Error = Cut> + Send + 'static,
+        stream: impl http_body::Body<Data = Bytes, Error = Truncated> + Send + 'static,
     ) -> Self {
         Self(Kind::Stream(Box::pin(stream)))
     }
@@ -45,12 +45,12 @@
 
 impl http_body::Body for Body {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = Truncated;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         match &mut self.0 {
             Kind::Full(full) => Pin::new(full)
                 .poll_frame(context)
--- a/node/src/pool.rs
+++ b/node/src/pool.rs
@@ -41,12 +41,12 @@
     /// Time to open a connection.
     pub connect: Duration,
     /// Time without traffic after which the kernel sends a keep-alive probe.
-    pub probe: Duration,
+    pub keepalive_time: Duration,
     /// Time between two keep-alive probes.
-    pub probe_interval: Duration,
+    pub keepalive_interval: Duration,
     /// Time for sent data to be acknowledged, after which the kernel closes the
     /// connection.
-    pub unacknowledged: Duration,
+    pub user_timeout: Duration,
     /// Time for which an idle connection is reused; shorter if its endpoint
     /// announces a shorter keep-alive timeout.
     pub idle: Duration,
@@ -56,9 +56,9 @@
     fn default() -> Self {
         Self {
             connect: Duration::from_secs(1),
-            probe: Duration::from_secs(5),
-            probe_interval: Duration::from_secs(2),
-            unacknowledged: Duration::from_secs(10),
+            keepalive_time: Duration::from_secs(5),
+            keepalive_interval: Duration::from_secs(2),
+            user_timeout: Duration::from_secs(10),
             idle: Duration::from_secs(5),
         }
     }
@@ -97,7 +97,7 @@
         let connect = TcpStream::connect(address);
         let stream = timeout(limits.connect, connect).await??;
         stream.set_nodelay(true)?;
-        watch(&stream, limits)?;
+        set_keepalive(&stream, limits)?;
         let handshake = http1::handshake(TokioIo::new(stream));
         let (sender, connection) = handshake.await.map_err(io::Error::other)?;
         let task = tokio::spawn(async move {
@@ -119,14 +119,14 @@
 /// # Errors
 ///
 /// Fails if the connection is already closed.
-pub fn watch(stream: &TcpStream, limits: &Limits) -> io::Result<()> {
+pub fn set_keepalive(stream: &TcpStream, limits: &Limits) -> io::Result<()> {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(limits.probe)
-        .with_interval(limits.probe_interval)
+        .with_time(limits.keepalive_time)
+        .with_interval(limits.keepalive_interval)
         .with_retries(KEEPALIVE_RETRIES);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(limits.unacknowledged))
+    socket.set_tcp_user_timeout(Some(limits.user_timeout))
 }
 
 impl Pool {
@@ -192,14 +192,14 @@
 }
 
 impl Client for Pool {
-    type Body = Answer;
+    type Body = Body;
 
     async fn send(
         &self,
         address: &str,
         message: Message,
         reuse: Reuse,
-    ) -> Result<Response<Answer>, Failure> {
+    ) -> Result<Response<Body>, Failure> {
         let mut connection = match self.connection(address, reuse).await {
             Ok(connection) => connection,
             Err(error) => {
@@ -231,7 +231,7 @@
             connection,
             idle,
         };
-        Ok(response.map(|body| Answer {
+        Ok(response.map(|body| Body {
             body,
             lease: Some(lease),
         }))
@@ -261,12 +261,12 @@
 
 /// Body of a response; returns its connection to the pool when it ends.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Body {
     body: Incoming,
     lease: Option<Lease>,
 }
 
-impl http_body::Body for Answer {
+impl http_body::Body for Body {
     type Data = Bytes;
     type Error = Broken;
 
--- a/node/src/stream.rs
+++ b/node/src/stream.rs
@@ -17,7 +17,7 @@
 };
 
 use crate::{
-    body::Cut, dispatcher::Handle, problem::Reason, sse, tracker::Tracker, upstream::Broken,
+    body::Truncated, dispatcher::Handle, problem::Reason, sse, tracker::Tracker, upstream::Broken,
 };
 
 /// Time to send the final error event of a truncated stream before the
@@ -179,7 +179,7 @@
 
     /// Ends the response as the endpoint ended it; an event stream without its
     /// final event is truncated.
-    fn finish(&mut self) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn finish(&mut self) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         let scanner = self.scanner.as_ref();
         if scanner.is_some_and(|scanner| !scanner.is_done()) {
             return self.truncate(Reason::Broken);
@@ -199,7 +199,7 @@
     }
 
     /// Ends the response early, in a way that the caller can detect.
-    fn truncate(&mut self, reason: Reason) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn truncate(&mut self, reason: Reason) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         if let Some(open) = self.source.take() {
             drop(open.body);
             match reason {
@@ -210,7 +210,7 @@
         }
         if self.scanner.is_none() {
             self.state = State::Ended;
-            return Poll::Ready(Some(Err(Cut)));
+            return Poll::Ready(Some(Err(Truncated)));
         }
         self.state = State::Aborting;
         self.timer = Box::pin(sleep(ABORT_DELAY));
@@ -231,19 +231,19 @@
     D: Handle + Unpin,
 {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = Truncated;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         let this = self.get_mut();
         match this.state {
             State::Open => {}
             State::Aborting => {
                 ready!(this.timer.as_mut().poll(context));
                 this.state = State::Ended;
-                return Poll::Ready(Some(Err(Cut)));
+                return Poll::Ready(Some(Err(Truncated)));
             }
             State::Ended => return Poll::Ready(None),
         }
--- a/node/tests/test_server.rs
+++ b/node/tests/test_server.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use dottereltally::{
-    body::{Body, Cut},
+    body::{Body, Truncated},
     server::{self, Limits},
 };
 use futures_util::stream::{self, StreamExt};
@@ -65,12 +65,12 @@
         "/endless" => {
             let frames = stream::repeat(frame).map(move |frame| {
                 let _ = &guard;
-                Ok::<_, Cut>(Frame::data(frame))
+                Ok::<_, Truncated>(Frame::data(frame))
             });
             Response::new(Body::stream(StreamBody::new(frames)))
         }
         "/cut" => {
-            let frames = [Ok(Frame::data(Bytes::from_static(b"part"))), Err(Cut)];
+            let frames = [Ok(Frame::data(Bytes::from_static(b"part"))), Err(Truncated)];
             Response::new(Body::stream(StreamBody::new(stream::iter(frames))))
         }
         _ => Response::new(Body::full(Bytes::from_static(b"whole"))),
