--- a/gateway/src/refusal.rs
+++ b/gateway/src/refusal.rs
@@ -27,7 +27,7 @@
     #[must_use]
     pub fn unsent(status: StatusCode, reason: Reason, detail: impl Into<String>) -> Self {
         Self {
-            problem: Problem::unread(status, reason, detail),
+            problem: Problem::before_dispatch(status, reason, detail),
             retry_after: None,
             close: false,
         }
--- a/node/examples/claim_runs/simulation/attempt.rs
+++ b/node/examples/claim_runs/simulation/attempt.rs
@@ -142,7 +142,7 @@
     lock(&cluster.history).run(key, response_body.clone());
     time::sleep(random_millis(random, 0, 3_000)).await;
     if *lock(killed) || random.random_bool(0.2) {
-        dispatched.lose();
+        dispatched.mark_lost();
         return;
     }
     dispatched.complete(Response {
--- a/node/src/authenticate.rs
+++ b/node/src/authenticate.rs
@@ -34,5 +34,5 @@
 }
 
 fn unauthenticated(detail: &str) -> Problem {
-    Problem::unread(StatusCode::UNAUTHORIZED, Reason::Unauthenticated, detail)
+    Problem::before_dispatch(StatusCode::UNAUTHORIZED, Reason::Unauthenticated, detail)
 }
--- a/node/src/claim/held.rs
+++ b/node/src/claim/held.rs
@@ -96,10 +96,10 @@
             return;
         };
         if !self.maybe_stored {
-            context.attempts.forget(&context.identity.token);
+            context.attempts.remove(&context.identity.token);
             return;
         }
-        context.attempts.give_up(&context.identity.token);
+        context.attempts.abandon(&context.identity.token);
         context.releaser.release_in_background(context.identity);
     }
 }
@@ -161,7 +161,7 @@
         let Some(context) = self.pending.context.take() else {
             return Err(Error::Unconfirmed);
         };
-        context.attempts.give_up(&context.identity.token);
+        context.attempts.abandon(&context.identity.token);
         context.releaser.release(context.identity).await?;
         if self.pending.requested.is_too_old() {
             return Err(Error::Expired);
@@ -189,7 +189,7 @@
     }
 
     /// Records that the response is unknown.
-    pub fn lose(self) {
+    pub fn mark_lost(self) {
         drop(self);
     }
 
@@ -202,7 +202,7 @@
     pub fn undo<M>(mut self, _unsent: &M) -> Held {
         let context = self.context.take();
         if let Some(context) = &context {
-            context.attempts.undo(&context.identity.token);
+            context.attempts.undo_dispatch(&context.identity.token);
         }
         Held {
             pending: Pending {
@@ -217,7 +217,7 @@
 impl Drop for Dispatched {
     fn drop(&mut self) {
         if let Some(context) = self.context.take() {
-            context.attempts.lose(&context.identity.token);
+            context.attempts.mark_lost(&context.identity.token);
         }
     }
 }
--- a/node/src/classify.rs
+++ b/node/src/classify.rs
@@ -84,7 +84,7 @@
         "no call of the operators' text matches {method} {}; check the method and path",
         uri.path()
     );
-    Err(Problem::unread(status, Reason::NoCall, detail))
+    Err(Problem::before_dispatch(status, Reason::NoCall, detail))
 }
 
 impl Candidates<'_> {
@@ -212,11 +212,11 @@
         }
         None => "the request names no model; set `model` in the body".to_owned(),
     };
-    Problem::unread(StatusCode::NOT_FOUND, Reason::NoCall, detail)
+    Problem::before_dispatch(StatusCode::NOT_FOUND, Reason::NoCall, detail)
 }
 
 fn malformed(detail: String) -> Problem {
-    Problem::unread(StatusCode::BAD_REQUEST, Reason::Malformed, detail)
+    Problem::before_dispatch(StatusCode::BAD_REQUEST, Reason::Malformed, detail)
 }
 
 /// Returns the configured tier of the call, or the lower tier that the caller
--- a/node/src/controllers.rs
+++ b/node/src/controllers.rs
@@ -114,7 +114,7 @@
         };
         executor.register(registry);
         let (dispatcher, dispatcher_task) = start_dispatcher(&base, executor).await?;
-        base.service.connect(dispatcher.clone());
+        base.service.set_dispatcher(dispatcher.clone());
         let rules = start_configuration(&base, &dispatcher, registry).await?;
         let keeper = start_keeper(&base, registry);
         let hosts = book.follow(start_hosts(&base.settings, registry)?);
--- a/node/src/filter.rs
+++ b/node/src/filter.rs
@@ -237,7 +237,7 @@
         let reading = collect(&mut body, limit);
         match timeout(self.limits.body_timeout, reading).await {
             Ok(outcome) => outcome,
-            Err(_) => Err(Problem::unread(
+            Err(_) => Err(Problem::before_dispatch(
                 StatusCode::REQUEST_TIMEOUT,
                 Reason::SlowSender,
                 "the body did not arrive in time; send the request again",
@@ -248,7 +248,7 @@
     /// Returns the rules in force, or the refusal of a node without any.
     fn rules(&self) -> Result<Arc<Rules>, Problem> {
         self.rules.borrow().clone().ok_or_else(|| {
-            Problem::unread(
+            Problem::before_dispatch(
                 StatusCode::SERVICE_UNAVAILABLE,
                 Reason::NoConfiguration,
                 "this node has no configuration yet; send the request again",
@@ -289,7 +289,7 @@
     let mut size = 0;
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
-            return Err(Problem::unread(
+            return Err(Problem::before_dispatch(
                 StatusCode::BAD_REQUEST,
                 Reason::Malformed,
                 "the body broke off; send the request again",
@@ -313,7 +313,7 @@
 }
 
 fn too_large(limit: usize) -> Problem {
-    Problem::unread(
+    Problem::before_dispatch(
         StatusCode::PAYLOAD_TOO_LARGE,
         Reason::TooLarge,
         format!("the body is over {limit} bytes; send a smaller one"),
@@ -334,7 +334,7 @@
     if size <= limit {
         return Ok(());
     }
-    Err(Problem::unread(
+    Err(Problem::before_dispatch(
         StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
         Reason::TooLarge,
         format!("the head is over {limit} bytes; send fewer or shorter headers"),
--- a/node/src/limit.rs
+++ b/node/src/limit.rs
@@ -53,7 +53,7 @@
         let count = counts.entry(workspace.clone()).or_default();
         if limit.is_some_and(|limit| *count >= limit) {
             let detail = "the workspace has reached its limit of requests at a time; send the request again when others have ended";
-            let problem = Problem::unread(
+            let problem = Problem::before_dispatch(
                 StatusCode::TOO_MANY_REQUESTS,
                 Reason::Core(dottereltally_lib::refusal::Reason::Limit),
                 detail,
--- a/node/src/problem.rs
+++ b/node/src/problem.rs
@@ -125,7 +125,7 @@
     /// Builds a refusal before a [`Request`](dottereltally_lib::request::Request)
     /// exists, so that no proof is needed.
     #[must_use]
-    pub fn unread(status: StatusCode, reason: Reason, detail: impl Into<String>) -> Self {
+    pub fn before_dispatch(status: StatusCode, reason: Reason, detail: impl Into<String>) -> Self {
         Self::new(status, reason, Run::NotRun, detail)
     }
 
--- a/node/src/replay.rs
+++ b/node/src/replay.rs
@@ -175,7 +175,7 @@
     }
 
     /// Removes an attempt whose claim was never sent.
-    pub(crate) fn forget(&self, token: &str) {
+    pub(crate) fn remove(&self, token: &str) {
         let old = self.lock().attempts.remove(token);
         assert!(
             old.is_some_and(|attempt| attempt.state == State::Claiming),
@@ -194,12 +194,12 @@
     }
 
     /// Reverts a dispatch that sent nothing.
-    pub(crate) fn undo(&self, token: &str) {
+    pub(crate) fn undo_dispatch(&self, token: &str) {
         self.transition(token, &State::Dispatched, State::Held);
     }
 
     /// Records that an attempt was abandoned before dispatch and will never run.
-    pub(crate) fn give_up(&self, token: &str) {
+    pub(crate) fn abandon(&self, token: &str) {
         self.end(token, State::NotRun);
     }
 
@@ -214,7 +214,7 @@
     }
 
     /// Records that the response to a dispatched attempt is unknown.
-    pub(crate) fn lose(&self, token: &str) {
+    pub(crate) fn mark_lost(&self, token: &str) {
         self.end(token, State::Lost);
     }
 
--- a/node/src/service.rs
+++ b/node/src/service.rs
@@ -24,7 +24,7 @@
 
 impl Service {
     /// Builds the service; admission messages are dropped until
-    /// [`connect`](Self::connect) is called.
+    /// [`set_dispatcher`](Self::set_dispatcher) is called.
     #[must_use]
     pub fn new(configuration: configuration::Handle, attempts: Attempts) -> Self {
         Self {
@@ -35,7 +35,7 @@
     }
 
     /// Sets the dispatcher that receives admission messages.
-    pub fn connect(&self, dispatcher: Sender) {
+    pub fn set_dispatcher(&self, dispatcher: Sender) {
         // Already set: the process has only one dispatcher.
         let _ = self.dispatcher.set(dispatcher);
     }
--- a/node/tests/test_problem.rs
+++ b/node/tests/test_problem.rs
@@ -43,7 +43,7 @@
 #[case(Duration::from_secs(2), "2")]
 #[case(Duration::from_millis(2001), "3")]
 fn rounds_retry_after_up_to_whole_seconds(#[case] delay: Duration, #[case] expected: &str) {
-    let problem = Problem::unread(StatusCode::SERVICE_UNAVAILABLE, Reason::Platform, "");
+    let problem = Problem::before_dispatch(StatusCode::SERVICE_UNAVAILABLE, Reason::Platform, "");
     let response = problem.retry_after(delay).response(None);
     assert_eq!(response.headers()["retry-after"], expected);
 }
