--- a/node/examples/claim_runs/simulation/attempt.rs
+++ b/node/examples/claim_runs/simulation/attempt.rs
@@ -6,7 +6,7 @@
 };
 
 use dottereltally::{
-    claim::{Error, Held, Lost, Scope},
+    claim::{Error, Held, Rejection, Scope},
     peer::Response,
 };
 use dottereltally_lib::id;
@@ -51,8 +51,8 @@
     };
     let held = match result {
         Ok(held) => held,
-        Err(lost) => {
-            record_lost(cluster, &process, key, lost);
+        Err(rejection) => {
+            record_rejection(cluster, &process, key, rejection);
             return;
         }
     };
@@ -73,17 +73,17 @@
 }
 
 /// Records what the caller is told if the claim was not acquired.
-fn record_lost(cluster: &Cluster, process: &Process, key: history::Key, lost: Lost) {
+fn record_rejection(cluster: &Cluster, process: &Process, key: history::Key, rejection: Rejection) {
     let mut history = lock(&cluster.history);
     if *lock(&process.killed) {
         return;
     }
-    match lost {
-        Lost::Replay(response) => history.replay(key, &response.body),
-        Lost::Running { .. } => history.count("running"),
-        Lost::Unknown { .. } => history.count("unknown"),
-        Lost::Mismatch => history.count("mismatch"),
-        Lost::Away { .. } => history.count("away"),
+    match rejection {
+        Rejection::Replay(response) => history.replay(key, &response.body),
+        Rejection::Running { .. } => history.count("running"),
+        Rejection::Unknown { .. } => history.count("unknown"),
+        Rejection::Mismatch => history.count("mismatch"),
+        Rejection::Unavailable { .. } => history.count("away"),
     }
 }
 
@@ -120,7 +120,7 @@
     let mut history = lock(&cluster.history);
     match result {
         Ok(()) => history.not_run(key, Instant::now() - MAX_RESPONSE_DELAY),
-        Err(Error::Taken) => history.count("taken"),
+        Err(Error::Claimed) => history.count("taken"),
         Err(Error::Expired) => history.count("expired"),
         Err(Error::Unconfirmed | Error::Refused(_)) => history.count("unconfirmed"),
     }
--- a/node/src/claim.rs
+++ b/node/src/claim.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Time to repeat a claiming transaction whose answer was lost.
-    pub settle: Duration,
+    pub transact: Duration,
     /// Time to wait for the attempt that holds the claim to end.
     pub wait: Duration,
     /// Time to release a claim while the caller waits to be refused.
@@ -55,7 +55,7 @@
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            settle: Duration::from_secs(2),
+            transact: Duration::from_secs(2),
             wait: Duration::from_secs(5),
             release: Duration::from_secs(2),
         }
@@ -66,7 +66,7 @@
 ///
 /// No variant proves that the call did not run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Lost {
+pub enum Rejection {
     /// The attempt that held the claim has completed with this response.
     #[error("the call was answered before; use the answer that was kept")]
     Replay(Response),
@@ -87,7 +87,7 @@
     Mismatch,
     /// The key-value service is unavailable.
     #[error("no claim can be taken: send the call again with the same key after {retry_after:?}")]
-    Away {
+    Unavailable {
         /// Time after which the caller should retry.
         retry_after: Duration,
     },
@@ -103,7 +103,7 @@
     Unconfirmed,
     /// Another attempt has claimed the key.
     #[error("another attempt has claimed the key; send the call again with the same key")]
-    Taken,
+    Claimed,
     /// The claim was held for so long that its lease may have expired.
     #[error("the claim was held for so long that it may have expired; send the call again")]
     Expired,
--- a/node/src/claim/keeper.rs
+++ b/node/src/claim/keeper.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     claim::{
-        Counters, Held, Limits, Lost, Scope,
+        Counters, Held, Limits, Rejection, Scope,
         breaker::{Breaker, TRIAL_PERIOD},
         held::{Context, Pending},
         identity::Identity,
@@ -160,16 +160,16 @@
         scope: Scope,
         fingerprint: id::Fingerprint,
         deadline: Instant,
-    ) -> Result<Held, Lost> {
+    ) -> Result<Held, Rejection> {
         let result = self.try_acquire(&scope, fingerprint, deadline).await;
         let counters = &self.0.counters;
         let counter = match &result {
             Ok(_) => &counters.taken,
-            Err(Lost::Replay(_)) => &counters.replayed,
-            Err(Lost::Running { .. }) => &counters.running,
-            Err(Lost::Unknown { .. }) => &counters.unknown,
-            Err(Lost::Mismatch) => &counters.mismatched,
-            Err(Lost::Away { .. }) => &counters.away,
+            Err(Rejection::Replay(_)) => &counters.replayed,
+            Err(Rejection::Running { .. }) => &counters.running,
+            Err(Rejection::Unknown { .. }) => &counters.unknown,
+            Err(Rejection::Mismatch) => &counters.mismatched,
+            Err(Rejection::Unavailable { .. }) => &counters.away,
         };
         counter.inc();
         result
@@ -181,7 +181,7 @@
         scope: &Scope,
         fingerprint: id::Fingerprint,
         deadline: Instant,
-    ) -> Result<Held, Lost> {
+    ) -> Result<Held, Rejection> {
         if !self.0.breaker.admit() {
             return Err(unavailable());
         }
@@ -222,8 +222,8 @@
         identity: &Identity,
         abandoned: Option<&[u8]>,
         deadline: Instant,
-    ) -> Result<Found, Lost> {
-        let end = deadline.min(Instant::now() + self.0.limits.settle);
+    ) -> Result<Found, Rejection> {
+        let end = deadline.min(Instant::now() + self.0.limits.transact);
         while Instant::now() < end {
             let Some(lease) = self
                 .0
@@ -273,7 +273,7 @@
         identity: &Identity,
         other: &Other,
         deadline: Instant,
-    ) -> Result<(), Lost> {
+    ) -> Result<(), Rejection> {
         let end = deadline.min(Instant::now() + self.0.limits.wait);
         let mut delay = MIN_ASK_DELAY;
         loop {
@@ -282,11 +282,13 @@
                 return Ok(());
             }
             if other.record.fingerprint != identity.fingerprint {
-                return Err(Lost::Mismatch);
+                return Err(Rejection::Mismatch);
             }
             match answer {
-                Answer::Done(response) => return Err(Lost::Replay(response)),
-                Answer::Unknown | Answer::Lost => return Err(Lost::Unknown { retry_after: None }),
+                Answer::Done(response) => return Err(Rejection::Replay(response)),
+                Answer::Unknown | Answer::Lost => {
+                    return Err(Rejection::Unknown { retry_after: None });
+                }
                 Answer::Running | Answer::NotRun => {}
             }
             if Instant::now() + delay >= end {
@@ -302,7 +304,7 @@
         &self,
         identity: &Identity,
         record: &layout::Claim,
-    ) -> Result<Answer, Lost> {
+    ) -> Result<Answer, Rejection> {
         if record.node == self.0.node {
             return Ok(self.0.attempts.answer(&identity.key, &record.token));
         }
@@ -312,16 +314,16 @@
             return Ok(answer);
         }
         if record.fingerprint != identity.fingerprint {
-            return Err(Lost::Mismatch);
+            return Err(Rejection::Mismatch);
         }
-        Err(Lost::Unknown {
+        Err(Rejection::Unknown {
             retry_after: Some(RETRY_AFTER_UNREACHABLE),
         })
     }
 }
 
 /// Returns the content of the claim's key according to a transaction's outcome.
-fn read_outcome(identity: &Identity, outcome: kv::Outcome) -> Result<Found, Lost> {
+fn read_outcome(identity: &Identity, outcome: kv::Outcome) -> Result<Found, Rejection> {
     if outcome.succeeded {
         return Ok(Found::Own);
     }
@@ -332,7 +334,7 @@
         return Ok(Found::Own);
     }
     let Ok(record) = serde_json::from_slice(&entry.value) else {
-        return Err(Lost::Unknown { retry_after: None });
+        return Err(Rejection::Unknown { retry_after: None });
     };
     Ok(Found::Other(Other {
         value: entry.value,
@@ -340,14 +342,14 @@
     }))
 }
 
-fn unavailable() -> Lost {
-    Lost::Away {
+fn unavailable() -> Rejection {
+    Rejection::Unavailable {
         retry_after: TRIAL_PERIOD * 2,
     }
 }
 
-fn running() -> Lost {
-    Lost::Running {
+fn running() -> Rejection {
+    Rejection::Running {
         retry_after: RETRY_AFTER,
     }
 }
--- a/node/src/claim/releaser.rs
+++ b/node/src/claim/releaser.rs
@@ -132,7 +132,7 @@
         let result = time::timeout(limits.release, confirm)
             .await
             .unwrap_or(Err(Error::Unconfirmed));
-        let is_final = matches!(result, Ok(()) | Err(Error::Taken));
+        let is_final = matches!(result, Ok(()) | Err(Error::Claimed));
         let _gone = reply.send(result);
         if is_final {
             return;
@@ -153,7 +153,7 @@
     loop {
         match delete(store, identity).await {
             Ok(true) => return Ok(()),
-            Ok(false) => return Err(Error::Taken),
+            Ok(false) => return Err(Error::Claimed),
             Err(kv::Error::Refused(cause)) => {
                 return Err(Error::Refused(kv::Error::Refused(cause)));
             }
--- a/node/src/idempotency.rs
+++ b/node/src/idempotency.rs
@@ -15,7 +15,7 @@
 use crate::{
     answer,
     body::Body,
-    claim::{self, Held, Lost, Scope},
+    claim::{self, Held, Rejection, Scope},
     dispatch::{self, Context, Error},
     dispatcher::Handle,
     filter::Chain,
@@ -45,7 +45,7 @@
         scope: Scope,
         fingerprint: id::Fingerprint,
         deadline: Instant,
-    ) -> impl Future<Output = Result<Held, Lost>> + Send;
+    ) -> impl Future<Output = Result<Held, Rejection>> + Send;
 }
 
 impl<S: Store, P: Peers> Keeper for claim::Keeper<S, P> {
@@ -54,7 +54,7 @@
         scope: Scope,
         fingerprint: id::Fingerprint,
         deadline: Instant,
-    ) -> Result<Held, Lost> {
+    ) -> Result<Held, Rejection> {
         claim::Keeper::acquire(self, scope, fingerprint, deadline).await
     }
 }
@@ -107,8 +107,8 @@
     let acquiring = chain.keeper.acquire(scope, profile.fingerprint, deadline);
     let held = match acquiring.await {
         Ok(held) => held,
-        Err(Lost::Replay(response)) => return Ok(replay(response, id)),
-        Err(lost) => return Err(claim_problem(&lost)),
+        Err(Rejection::Replay(response)) => return Ok(replay(response, id)),
+        Err(rejection) => return Err(claim_problem(&rejection)),
     };
     let running = dispatch::run(&chain, request.claim(), held, message, &context).await;
     let (running, dispatched) = match running {
@@ -163,21 +163,21 @@
 }
 
 /// Returns the problem for a call whose claim was not acquired.
-fn claim_problem(lost: &Lost) -> Problem {
-    let (status, reason, delay) = match lost {
-        Lost::Mismatch => (StatusCode::UNPROCESSABLE_ENTITY, Reason::KeyMismatch, None),
-        Lost::Away { retry_after } => (
+fn claim_problem(rejection: &Rejection) -> Problem {
+    let (status, reason, delay) = match rejection {
+        Rejection::Mismatch => (StatusCode::UNPROCESSABLE_ENTITY, Reason::KeyMismatch, None),
+        Rejection::Unavailable { retry_after } => (
             StatusCode::SERVICE_UNAVAILABLE,
             Reason::Platform,
             Some(*retry_after),
         ),
-        Lost::Running { retry_after } => {
+        Rejection::Running { retry_after } => {
             (StatusCode::CONFLICT, Reason::Claimed, Some(*retry_after))
         }
-        Lost::Unknown { retry_after } => (StatusCode::CONFLICT, Reason::Claimed, *retry_after),
-        Lost::Replay(_) => (StatusCode::CONFLICT, Reason::Claimed, Some(RETRY_AFTER)),
+        Rejection::Unknown { retry_after } => (StatusCode::CONFLICT, Reason::Claimed, *retry_after),
+        Rejection::Replay(_) => (StatusCode::CONFLICT, Reason::Claimed, Some(RETRY_AFTER)),
     };
-    let problem = Problem::may_have_run(status, reason, lost.to_string());
+    let problem = Problem::may_have_run(status, reason, rejection.to_string());
     match delay {
         Some(delay) => problem.retry_after(delay),
         None => problem,
--- a/node/tests/test_claim.rs
+++ b/node/tests/test_claim.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use dottereltally::{
-    claim::{Error, Held, Keeper, Limits, Lost, Scope},
+    claim::{Error, Held, Keeper, Limits, Rejection, Scope},
     peer::{self, Answer, Peers, Response},
     replay::{self, Attempts},
 };
@@ -86,11 +86,11 @@
 }
 
 impl Node {
-    async fn acquire(&self) -> Result<Held, Lost> {
+    async fn acquire(&self) -> Result<Held, Rejection> {
         self.acquire_as(FINGERPRINT).await
     }
 
-    async fn acquire_as(&self, fingerprint: id::Fingerprint) -> Result<Held, Lost> {
+    async fn acquire_as(&self, fingerprint: id::Fingerprint) -> Result<Held, Rejection> {
         let deadline = Instant::now() + ACQUIRE_TIMEOUT;
         self.keeper
             .acquire(scope("pay-1"), fingerprint, deadline)
@@ -124,10 +124,10 @@
 }
 
 /// Returns why an attempt did not acquire its claim.
-fn expect_lost(result: Result<Held, Lost>) -> Lost {
+fn expect_rejection(result: Result<Held, Rejection>) -> Rejection {
     match result {
         Ok(_) => panic!("two attempts acquired the claim"),
-        Err(lost) => lost,
+        Err(rejection) => rejection,
     }
 }
 
@@ -148,7 +148,7 @@
     let cluster = Cluster::new();
     let (a, b, c) = (cluster.node("a"), cluster.node("b"), cluster.node("c"));
     let held = a.acquire().await.unwrap();
-    let _running = expect_lost(b.acquire().await);
+    let _running = expect_rejection(b.acquire().await);
     assert_eq!(b.transactions(), 1);
     a.store.set_down(true);
     assert_eq!(held.release().await, Err(Error::Unconfirmed));
@@ -187,7 +187,7 @@
                 dispatched.complete(response(&node.name.to_string()));
                 Ok(node.name.to_string())
             }
-            Err(lost) => Err(lost),
+            Err(rejection) => Err(rejection),
         }
     };
     let results = tokio::join!(run(a), run(b));
@@ -195,7 +195,7 @@
         (Ok(winner), Err(loser)) | (Err(loser), Ok(winner)) => (winner, loser),
         other => panic!("{other:?}"),
     };
-    assert_eq!(loser, Lost::Replay(response(&winner)));
+    assert_eq!(loser, Rejection::Replay(response(&winner)));
 }
 
 #[tokio::test(start_paused = true)]
@@ -203,8 +203,11 @@
     let cluster = Cluster::new();
     let (a, b) = (cluster.node("a"), cluster.node("b"));
     let _running = a.acquire().await.unwrap().dispatch().unwrap();
-    let lost = expect_lost(b.acquire().await);
-    assert!(matches!(lost, Lost::Running { .. }), "{lost:?}");
+    let rejection = expect_rejection(b.acquire().await);
+    assert!(
+        matches!(rejection, Rejection::Running { .. }),
+        "{rejection:?}"
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -214,12 +217,12 @@
     let dispatched = a.acquire().await.unwrap().dispatch().unwrap();
     dispatched.complete(response("paid"));
     assert_eq!(
-        expect_lost(a.acquire().await),
-        Lost::Replay(response("paid"))
+        expect_rejection(a.acquire().await),
+        Rejection::Replay(response("paid"))
     );
     assert_eq!(
-        expect_lost(b.acquire().await),
-        Lost::Replay(response("paid"))
+        expect_rejection(b.acquire().await),
+        Rejection::Replay(response("paid"))
     );
 }
 
@@ -229,13 +232,13 @@
     let (a, b) = (cluster.node("a"), cluster.node("b"));
     let held = a.acquire().await.unwrap();
     assert_eq!(
-        expect_lost(b.acquire_as(OTHER_FINGERPRINT).await),
-        Lost::Mismatch
+        expect_rejection(b.acquire_as(OTHER_FINGERPRINT).await),
+        Rejection::Mismatch
     );
     held.dispatch().unwrap().complete(response("paid"));
     assert_eq!(
-        expect_lost(b.acquire_as(OTHER_FINGERPRINT).await),
-        Lost::Mismatch
+        expect_rejection(b.acquire_as(OTHER_FINGERPRINT).await),
+        Rejection::Mismatch
     );
 }
 
@@ -265,7 +268,7 @@
     let release = tokio::spawn(held.release());
     time::sleep(Duration::from_millis(100)).await;
     let other = b.acquire().await.unwrap();
-    assert_eq!(release.await.unwrap(), Err(Error::Taken));
+    assert_eq!(release.await.unwrap(), Err(Error::Claimed));
     assert_eq!(cluster.token().await.as_deref(), Some(other.token()));
 }
 
@@ -289,13 +292,16 @@
     drop(node.acquire().await.unwrap());
     time::sleep(Duration::from_secs(1)).await;
     node.store.script(|_| Some(Fault::CallLost));
-    let first = expect_lost(node.acquire().await);
-    assert!(matches!(first, Lost::Away { .. }), "{first:?}");
+    let first = expect_rejection(node.acquire().await);
+    assert!(matches!(first, Rejection::Unavailable { .. }), "{first:?}");
     time::sleep(Duration::from_secs(10)).await;
     let (before, start) = (node.transactions(), Instant::now());
     for _ in 0..100 {
-        let lost = expect_lost(node.acquire().await);
-        assert!(matches!(lost, Lost::Away { .. }), "{lost:?}");
+        let rejection = expect_rejection(node.acquire().await);
+        assert!(
+            matches!(rejection, Rejection::Unavailable { .. }),
+            "{rejection:?}"
+        );
     }
     assert_eq!(start.elapsed(), Duration::ZERO);
     assert_eq!(node.transactions(), before);
@@ -308,7 +314,7 @@
     let node = cluster.node("a");
     drop(node.acquire().await.unwrap());
     node.store.set_down(true);
-    let _unavailable = expect_lost(node.acquire().await);
+    let _unavailable = expect_rejection(node.acquire().await);
     let before = node.store.count();
     time::sleep(Duration::from_secs(10)).await;
     let after = node.store.count();
@@ -325,15 +331,18 @@
     let node = cluster.node("a");
     node.acquire().await.unwrap().release().await.unwrap();
     node.store.script(lose_transactions);
-    let _unavailable = expect_lost(node.acquire().await);
+    let _unavailable = expect_rejection(node.acquire().await);
     let mut delayed_rounds = 0;
     for _ in 0..200 {
         time::sleep(Duration::from_millis(50)).await;
         let start = Instant::now();
         let acquires = (0..10).map(|_| node.acquire());
         for result in futures_util::future::join_all(acquires).await {
-            let lost = expect_lost(result);
-            assert!(matches!(lost, Lost::Away { .. }), "{lost:?}");
+            let rejection = expect_rejection(result);
+            assert!(
+                matches!(rejection, Rejection::Unavailable { .. }),
+                "{rejection:?}"
+            );
         }
         delayed_rounds += u64::from(start.elapsed() > Duration::ZERO);
     }
@@ -347,7 +356,7 @@
     node.store.script(|_| None);
     time::sleep(Duration::from_secs(1)).await;
     let _held = node.acquire().await.unwrap();
-    let _again = expect_lost(node.acquire().await);
+    let _again = expect_rejection(node.acquire().await);
     assert!(node.keeper.is_available());
 }
 
@@ -396,8 +405,11 @@
     );
     let deadline = Instant::now() + ACQUIRE_TIMEOUT;
     let acquire = b.acquire(scope("pay-1"), FINGERPRINT, deadline);
-    let lost = expect_lost(time::timeout(ACQUIRE_TIMEOUT, acquire).await.unwrap());
-    assert!(matches!(lost, Lost::Unknown { .. }), "{lost:?}");
+    let rejection = expect_rejection(time::timeout(ACQUIRE_TIMEOUT, acquire).await.unwrap());
+    assert!(
+        matches!(rejection, Rejection::Unknown { .. }),
+        "{rejection:?}"
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -405,8 +417,11 @@
     let cluster = Cluster::new();
     let node = cluster.node("a");
     node.store.set_down(true);
-    let lost = expect_lost(node.acquire().await);
-    assert!(matches!(lost, Lost::Away { .. }), "{lost:?}");
+    let rejection = expect_rejection(node.acquire().await);
+    assert!(
+        matches!(rejection, Rejection::Unavailable { .. }),
+        "{rejection:?}"
+    );
     node.store.set_down(false);
     time::sleep(Duration::from_secs(2)).await;
     let _held = node.acquire().await.unwrap();
@@ -420,8 +435,8 @@
     a.store.set_down(true);
     held.dispatch().unwrap().complete(response("paid"));
     assert_eq!(
-        expect_lost(b.acquire().await),
-        Lost::Replay(response("paid"))
+        expect_rejection(b.acquire().await),
+        Rejection::Replay(response("paid"))
     );
 }
 
@@ -432,8 +447,11 @@
     // The write takes effect, and no later call of this node arrives.
     a.store.inject(Call::Transact, Fault::AnswerLost);
     a.store.script(lose_transactions);
-    let refused = expect_lost(a.acquire().await);
-    assert!(matches!(refused, Lost::Away { .. }), "{refused:?}");
+    let refused = expect_rejection(a.acquire().await);
+    assert!(
+        matches!(refused, Rejection::Unavailable { .. }),
+        "{refused:?}"
+    );
     assert!(cluster.claim().await.is_some());
     let held = b.acquire().await.unwrap();
     assert_eq!(b.keeper.counters().taken_over.get(), 1);
@@ -459,8 +477,8 @@
     let held = b.acquire().await.unwrap();
     held.dispatch().unwrap().complete(response("paid"));
     assert_eq!(
-        expect_lost(a.acquire().await),
-        Lost::Replay(response("paid"))
+        expect_rejection(a.acquire().await),
+        Rejection::Replay(response("paid"))
     );
 }
 
@@ -472,8 +490,11 @@
     for _ in 0..10 {
         a.store.inject(Call::Transact, Fault::Delayed(delay));
     }
-    let refused = expect_lost(a.acquire().await);
-    assert!(matches!(refused, Lost::Away { .. }), "{refused:?}");
+    let refused = expect_rejection(a.acquire().await);
+    assert!(
+        matches!(refused, Rejection::Unavailable { .. }),
+        "{refused:?}"
+    );
     let held = b.acquire().await.unwrap();
     let token = held.token().to_owned();
     held.dispatch().unwrap().complete(response("paid"));
@@ -487,7 +508,7 @@
     let (a, b, c) = (cluster.node("a"), cluster.node("b"), cluster.node("c"));
     a.store.inject(Call::Transact, Fault::AnswerLost);
     a.store.script(lose_transactions);
-    let _unavailable = expect_lost(a.acquire().await);
+    let _unavailable = expect_rejection(a.acquire().await);
     let (first, second) = tokio::join!(b.acquire(), c.acquire());
     let results = [first, second];
     let winners = results.iter().filter(|result| result.is_ok()).count();
@@ -504,8 +525,8 @@
     let token = cluster.token().await;
     let restarted = cluster.node("a");
     for node in [&b, &restarted] {
-        let lost = expect_lost(node.acquire().await);
-        assert_eq!(lost, Lost::Unknown { retry_after: None });
+        let rejection = expect_rejection(node.acquire().await);
+        assert_eq!(rejection, Rejection::Unknown { retry_after: None });
     }
     assert_eq!(cluster.token().await, token);
 }
@@ -516,15 +537,15 @@
     let (a, b) = (cluster.node("a"), cluster.node("b"));
     let held = a.acquire().await.unwrap();
     cluster.network.route(&a.name, None);
-    let lost = expect_lost(b.acquire().await);
+    let rejection = expect_rejection(b.acquire().await);
     assert!(
         matches!(
-            lost,
-            Lost::Unknown {
+            rejection,
+            Rejection::Unknown {
                 retry_after: Some(_)
             }
         ),
-        "{lost:?}"
+        "{rejection:?}"
     );
     assert_eq!(cluster.token().await.as_deref(), Some(held.token()));
 }
@@ -574,8 +595,8 @@
     let (a, b) = (cluster.node("a"), cluster.node("b"));
     drop(a.acquire().await.unwrap().dispatch().unwrap());
     for node in [&a, &b] {
-        let lost = expect_lost(node.acquire().await);
-        assert_eq!(lost, Lost::Unknown { retry_after: None });
+        let rejection = expect_rejection(node.acquire().await);
+        assert_eq!(rejection, Rejection::Unknown { retry_after: None });
     }
 }
 
@@ -634,8 +655,8 @@
     let node = cluster.node_with("a", Attempts::new(limits));
     let dispatched = node.acquire().await.unwrap().dispatch().unwrap();
     dispatched.complete(response("paid"));
-    let lost = expect_lost(node.acquire().await);
-    assert_eq!(lost, Lost::Unknown { retry_after: None });
+    let rejection = expect_rejection(node.acquire().await);
+    assert_eq!(rejection, Rejection::Unknown { retry_after: None });
 }
 
 #[tokio::test(start_paused = true)]
--- a/node/tests/test_platform.rs
+++ b/node/tests/test_platform.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use dottereltally::{
-    claim::{Held, Keeper, Limits, Lost, Scope},
+    claim::{Held, Keeper, Limits, Rejection, Scope},
     configuration::{Arguments, Controller, Counters, Handle},
     peer::Response,
     replay::Attempts,
@@ -59,7 +59,7 @@
         let node = id::Node::from(name);
         self.network.route(&node, Some(attempts.clone()));
         let limits = Limits {
-            settle: CLAIM_TIMEOUT,
+            transact: CLAIM_TIMEOUT,
             wait: CLAIM_TIMEOUT,
             release: CLAIM_TIMEOUT,
         };
@@ -72,7 +72,7 @@
     }
 }
 
-async fn acquire(keeper: &Keeper<Store, Network>) -> Result<Held, Lost> {
+async fn acquire(keeper: &Keeper<Store, Network>) -> Result<Held, Rejection> {
     let scope = Scope {
         workspace: id::Workspace::from("yard"),
         service: id::Service::from("ledger"),
@@ -114,7 +114,7 @@
     dispatched.complete(payment_response());
     assert_eq!(
         acquire(&b).await.err(),
-        Some(Lost::Replay(payment_response()))
+        Some(Rejection::Replay(payment_response()))
     );
     Ok(())
 }
@@ -125,8 +125,11 @@
     let keeper = platform.keeper("a");
     acquire(&keeper).await?.release().await?;
     platform.set(json!({"down": true})).await?;
-    let lost = acquire(&keeper).await.err();
-    assert!(matches!(lost, Some(Lost::Away { .. })), "{lost:?}");
+    let rejection = acquire(&keeper).await.err();
+    assert!(
+        matches!(rejection, Some(Rejection::Unavailable { .. })),
+        "{rejection:?}"
+    );
     platform.set(json!({"down": false})).await?;
     eventually("the service is back", async || {
         keeper.is_available().then_some(())
