--- a/node/examples/claim_runs/simulation/network.rs
+++ b/node/examples/claim_runs/simulation/network.rs
@@ -7,7 +7,7 @@
 };
 
 use dottereltally::{
-    peer::{self, Answer, Peers},
+    peer::{self, Peers, Status},
     replay::Attempts,
 };
 use dottereltally_lib::{event, id};
@@ -63,34 +63,34 @@
 }
 
 impl Peers for Network {
-    async fn answer(
+    async fn attempt_status(
         &self,
         node: &id::Node,
         claim: &str,
         token: &str,
-    ) -> Result<Answer, peer::Error> {
-        let silent = || peer::Error::Silent {
+    ) -> Result<Status, peer::Error> {
+        let unreachable = || peer::Error::Unreachable {
             node: node.clone(),
             cause: "lost".to_owned(),
         };
         let (lost, delay) = self.draw();
         if lost {
             time::sleep(REQUEST_TIMEOUT).await;
-            return Err(silent());
+            return Err(unreachable());
         }
         time::sleep(delay).await;
         let attempts = self.lock().nodes.get(node).cloned();
         let Some(attempts) = attempts else {
             return Err(peer::Error::NotLive(node.clone()));
         };
-        let answer = attempts.answer(claim, token);
+        let status = attempts.status(claim, token);
         let (lost, delay) = self.draw();
         if lost {
             time::sleep(REQUEST_TIMEOUT).await;
-            return Err(silent());
+            return Err(unreachable());
         }
         time::sleep(delay).await;
-        Ok(answer)
+        Ok(status)
     }
 
     async fn configuration(&self, _above: id::Generation) -> Option<layout::Configuration> {
--- a/node/src/claim/keeper.rs
+++ b/node/src/claim/keeper.rs
@@ -22,7 +22,7 @@
         lease,
         releaser::{self, Releaser},
     },
-    peer::{Answer, Peers},
+    peer::{Peers, Status},
     replay::Attempts,
 };
 
@@ -277,19 +277,19 @@
         let end = deadline.min(Instant::now() + self.0.limits.wait);
         let mut delay = MIN_ASK_DELAY;
         loop {
-            let answer = self.ask_holder(identity, &other.record).await?;
-            if answer == Answer::NotRun {
+            let status = self.ask_holder(identity, &other.record).await?;
+            if status == Status::NotRun {
                 return Ok(());
             }
             if other.record.fingerprint != identity.fingerprint {
                 return Err(Rejection::Mismatch);
             }
-            match answer {
-                Answer::Done(response) => return Err(Rejection::Replay(response)),
-                Answer::Unknown | Answer::Lost => {
+            match status {
+                Status::Done(response) => return Err(Rejection::Replay(response)),
+                Status::Unknown | Status::Lost => {
                     return Err(Rejection::Unknown { retry_after: None });
                 }
-                Answer::Running | Answer::NotRun => {}
+                Status::Running | Status::NotRun => {}
             }
             if Instant::now() + delay >= end {
                 return Err(running());
@@ -299,19 +299,19 @@
         }
     }
 
-    /// Asks the node that holds a claim for the outcome of its attempt.
+    /// Asks the node that holds a claim for the status of its attempt.
     async fn ask_holder(
         &self,
         identity: &Identity,
         record: &layout::Claim,
-    ) -> Result<Answer, Rejection> {
+    ) -> Result<Status, Rejection> {
         if record.node == self.0.node {
-            return Ok(self.0.attempts.answer(&identity.key, &record.token));
+            return Ok(self.0.attempts.status(&identity.key, &record.token));
         }
         let peers = &self.0.peers;
-        let query = peers.answer(&record.node, &identity.key, &record.token);
-        if let Ok(Ok(answer)) = time::timeout(ASK_TIMEOUT, query).await {
-            return Ok(answer);
+        let query = peers.attempt_status(&record.node, &identity.key, &record.token);
+        if let Ok(Ok(status)) = time::timeout(ASK_TIMEOUT, query).await {
+            return Ok(status);
         }
         if record.fingerprint != identity.fingerprint {
             return Err(Rejection::Mismatch);
--- a/node/src/configuration.rs
+++ b/node/src/configuration.rs
@@ -58,7 +58,7 @@
     /// Returns the configuration in force if its generation is higher than
     /// `above`.
     #[must_use]
-    pub fn newer(&self, above: id::Generation) -> Option<layout::Configuration> {
+    pub fn record_above(&self, above: id::Generation) -> Option<layout::Configuration> {
         let current = self.current.borrow();
         let record = &current.as_ref()?.record;
         (record.generation > above).then(|| record.clone())
@@ -66,7 +66,7 @@
 
     /// Records that a peer has a generation in force, so that it is fetched if
     /// it is higher than the own one.
-    pub fn outdated(&self, generation: id::Generation) {
+    pub fn note_generation(&self, generation: id::Generation) {
         self.reported.send_if_modified(|reported| {
             let is_higher = generation > *reported;
             if is_higher {
--- a/node/src/membership.rs
+++ b/node/src/membership.rs
@@ -299,7 +299,7 @@
             }
             Effect::NewerGeneration(node, generation) => {
                 self.peers.prefer(node);
-                self.service.outdated(generation);
+                self.service.note_generation(generation);
             }
         }
     }
@@ -320,7 +320,7 @@
     }
 
     fn publish(&mut self, members: &[Member]) {
-        self.peers.update(self.membership.addresses());
+        self.peers.set_addresses(self.membership.addresses());
         self.metrics.changes.inc();
         self.metrics
             .members
--- a/node/src/peer.rs
+++ b/node/src/peer.rs
@@ -30,9 +30,9 @@
     pub body: Vec<u8>,
 }
 
-/// Outcome of the attempt that holds a claim.
+/// Status of the attempt that holds a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum Status {
     /// The node does not know the attempt.
     Unknown,
     /// The attempt has not ended.
@@ -53,7 +53,7 @@
     NotLive(id::Node),
     /// The call failed or was not answered in time.
     #[error("node {node} does not answer: {cause}; check the link between the nodes")]
-    Silent {
+    Unreachable {
         /// Node that was called.
         node: id::Node,
         /// Error of the call.
@@ -63,17 +63,17 @@
 
 /// Calls peers.
 pub trait Peers: Clone + Send + Sync + 'static {
-    /// Asks the node that holds a claim for the outcome of its attempt.
+    /// Asks the node that holds a claim for the status of its attempt.
     ///
     /// # Errors
     ///
     /// Fails if the node does not answer.
-    fn answer(
+    fn attempt_status(
         &self,
         node: &id::Node,
         claim: &str,
         token: &str,
-    ) -> impl Future<Output = Result<Answer, Error>> + Send;
+    ) -> impl Future<Output = Result<Status, Error>> + Send;
 
     /// Asks live peers for a configuration with a generation higher than
     /// `above`.
@@ -89,8 +89,8 @@
 
 /// Answers the calls of peers.
 pub trait Service: Send + Sync + 'static {
-    /// Returns the outcome of an attempt of this node.
-    fn answer(&self, claim: &str, token: &str) -> Answer;
+    /// Returns the status of an attempt of this node.
+    fn attempt_status(&self, claim: &str, token: &str) -> Status;
 
     /// Returns the configuration in force if its generation is higher than
     /// `above`.
@@ -100,7 +100,7 @@
     fn generation(&self) -> id::Generation;
 
     /// Records that a peer has a higher generation in force.
-    fn outdated(&self, generation: id::Generation);
+    fn note_generation(&self, generation: id::Generation);
 
     /// Handles a message of the admission protocol.
     fn admission(&self, sender: id::Node, message: event::Message);
--- a/node/src/peer/connection.rs
+++ b/node/src/peer/connection.rs
@@ -12,7 +12,7 @@
     time::{Instant, timeout},
 };
 
-use crate::peer::{Answer, metrics::Metrics, stream, wire};
+use crate::peer::{Status, metrics::Metrics, stream, wire};
 
 /// Time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -24,8 +24,8 @@
     Exchange(Heartbeat),
     /// Asks for a configuration with a generation higher than this one.
     Configuration(id::Generation),
-    /// Asks for the outcome of an attempt.
-    Answer {
+    /// Asks for the status of an attempt.
+    AttemptStatus {
         /// Key of the attempt's claim.
         claim: String,
         /// Identifies the attempt.
@@ -47,7 +47,7 @@
         match self {
             Self::Exchange(_) => Duration::from_millis(500),
             Self::Admission { .. } => Duration::from_secs(1),
-            Self::Configuration(_) | Self::Answer { .. } => Duration::from_secs(2),
+            Self::Configuration(_) | Self::AttemptStatus { .. } => Duration::from_secs(2),
         }
     }
 }
@@ -59,8 +59,8 @@
     Heartbeat(Heartbeat),
     /// The peer's configuration, if its generation is higher than the one asked.
     Configuration(Option<layout::Configuration>),
-    /// Outcome of the attempt.
-    Answer(Answer),
+    /// Status of the attempt.
+    AttemptStatus(Status),
     /// The message was accepted.
     Accepted,
 }
@@ -134,13 +134,13 @@
                 let record = wire::read_configuration(response.get()?.get_record()?)?;
                 Ok(Reply::Configuration(record))
             }
-            Call::Answer { claim, token } => {
+            Call::AttemptStatus { claim, token } => {
                 let mut request = self.client.answer_request();
                 request.get().set_claim(claim);
                 request.get().set_token(token);
                 let response = request.send().promise.await?;
-                let answer = wire::read_answer(response.get()?.get_answer()?)?;
-                Ok(Reply::Answer(answer))
+                let status = wire::read_status(response.get()?.get_answer()?)?;
+                Ok(Reply::AttemptStatus(status))
             }
             Call::Admission { sender, message } => {
                 let mut request = self.client.admission_request();
--- a/node/src/peer/handle.rs
+++ b/node/src/peer/handle.rs
@@ -22,7 +22,7 @@
 };
 
 use crate::peer::{
-    Answer, Error, Peers, Service,
+    Error, Peers, Service, Status,
     connection::{Call, Reply},
     metrics::Metrics,
     pool::Pool,
@@ -85,7 +85,8 @@
 /// Starts the thread that serves and calls peers.
 ///
 /// The returned receiver yields the heartbeats of peers and belongs to the
-/// membership. The handle knows no peer until [`Handle::update`] is called.
+/// membership. The handle knows no peer until [`Handle::set_addresses`] is
+/// called.
 ///
 /// # Errors
 ///
@@ -219,7 +220,7 @@
 
 impl Handle {
     /// Replaces the addresses of the peers.
-    pub fn update(&self, addresses: Vec<(id::Node, String)>) {
+    pub fn set_addresses(&self, addresses: Vec<(id::Node, String)>) {
         let mut directory = lock(&self.state.directory);
         directory.addresses = addresses.into_iter().collect();
     }
@@ -252,7 +253,7 @@
 
     /// Makes a call through the thread.
     async fn call(&self, node: &id::Node, address: String, call: Call) -> Result<Reply, Error> {
-        let silent = |cause: &str| Error::Silent {
+        let unreachable = |cause: &str| Error::Unreachable {
             node: node.clone(),
             cause: cause.to_owned(),
         };
@@ -264,9 +265,11 @@
         };
         self.calls
             .try_send(command)
-            .map_err(|_| silent("too many calls are queued"))?;
-        let result = result.await.map_err(|_| silent("the node is stopping"))?;
-        result.map_err(|error| silent(&error.to_string()))
+            .map_err(|_| unreachable("too many calls are queued"))?;
+        let result = result
+            .await
+            .map_err(|_| unreachable("the node is stopping"))?;
+        result.map_err(|error| unreachable(&error.to_string()))
     }
 
     fn address(&self, node: &id::Node) -> Result<String, Error> {
@@ -299,21 +302,26 @@
 
 /// Returns the error for a reply of the wrong type.
 fn wrong_type(node: &id::Node) -> Error {
-    Error::Silent {
+    Error::Unreachable {
         node: node.clone(),
         cause: "the reply has the wrong type".to_owned(),
     }
 }
 
 impl Peers for Handle {
-    async fn answer(&self, node: &id::Node, claim: &str, token: &str) -> Result<Answer, Error> {
+    async fn attempt_status(
+        &self,
+        node: &id::Node,
+        claim: &str,
+        token: &str,
+    ) -> Result<Status, Error> {
         let address = self.address(node)?;
-        let call = Call::Answer {
+        let call = Call::AttemptStatus {
             claim: claim.to_owned(),
             token: token.to_owned(),
         };
         match self.call(node, address, call).await? {
-            Reply::Answer(answer) => Ok(answer),
+            Reply::AttemptStatus(status) => Ok(status),
             _ => Err(wrong_type(node)),
         }
     }
--- a/node/src/peer/server.rs
+++ b/node/src/peer/server.rs
@@ -169,8 +169,8 @@
         let params = params.get()?;
         let claim = params.get_claim()?.to_str()?;
         let token = params.get_token()?.to_str()?;
-        let answer = self.shared.service.answer(claim, token);
-        wire::write_answer(&answer, results.get().init_answer());
+        let status = self.shared.service.attempt_status(claim, token);
+        wire::write_status(&status, results.get().init_answer());
         Ok(())
     }
 
--- a/node/src/peer/wire.rs
+++ b/node/src/peer/wire.rs
@@ -11,7 +11,7 @@
 use dottereltally_proto::peer_capnp;
 use dottereltally_store::layout;
 
-use crate::peer::{Answer, Response};
+use crate::peer::{Response, Status};
 
 /// Number of members in one heartbeat.
 const MAX_MEMBERS: u32 = 4096;
@@ -191,22 +191,22 @@
     builder.set_token(&record.token);
 }
 
-/// Reads the outcome of an attempt.
+/// Reads the status of an attempt.
 ///
 /// # Errors
 ///
 /// Fails if the message is malformed.
-pub fn read_answer(reader: peer_capnp::answer::Reader<'_>) -> capnp::Result<Answer> {
+pub fn read_status(reader: peer_capnp::answer::Reader<'_>) -> capnp::Result<Status> {
     use peer_capnp::answer::Which;
 
     Ok(match reader.which()? {
-        Which::Unknown(()) => Answer::Unknown,
-        Which::Running(()) => Answer::Running,
-        Which::NotRun(()) => Answer::NotRun,
-        Which::Lost(()) => Answer::Lost,
+        Which::Unknown(()) => Status::Unknown,
+        Which::Running(()) => Status::Running,
+        Which::NotRun(()) => Status::NotRun,
+        Which::Lost(()) => Status::Lost,
         Which::Done(response) => {
             let response = response?;
-            Answer::Done(Response {
+            Status::Done(Response {
                 status: response.get_status(),
                 content_type: response.get_content_type()?.to_string()?,
                 body: response.get_body()?.to_vec(),
@@ -215,14 +215,14 @@
     })
 }
 
-/// Writes the outcome of an attempt.
-pub fn write_answer(answer: &Answer, mut builder: peer_capnp::answer::Builder<'_>) {
-    match answer {
-        Answer::Unknown => builder.set_unknown(()),
-        Answer::Running => builder.set_running(()),
-        Answer::NotRun => builder.set_not_run(()),
-        Answer::Lost => builder.set_lost(()),
-        Answer::Done(response) => {
+/// Writes the status of an attempt.
+pub fn write_status(status: &Status, mut builder: peer_capnp::answer::Builder<'_>) {
+    match status {
+        Status::Unknown => builder.set_unknown(()),
+        Status::Running => builder.set_running(()),
+        Status::NotRun => builder.set_not_run(()),
+        Status::Lost => builder.set_lost(()),
+        Status::Done(response) => {
             let mut builder = builder.init_done();
             builder.set_status(response.status);
             builder.set_content_type(&response.content_type);
--- a/node/src/replay.rs
+++ b/node/src/replay.rs
@@ -18,7 +18,7 @@
 };
 use tokio::time::Instant;
 
-use crate::peer::{Answer, Response};
+use crate::peer::{Response, Status};
 
 /// Estimated memory of an ended attempt besides its response, bytes.
 const ATTEMPT_OVERHEAD_BYTES: usize = 512;
@@ -142,21 +142,21 @@
         &self.counters
     }
 
-    /// Returns the state of an attempt in the form sent to peers.
+    /// Returns the status of an attempt, as sent to peers.
     #[must_use]
-    pub fn answer(&self, claim: &str, token: &str) -> Answer {
+    pub fn status(&self, claim: &str, token: &str) -> Status {
         let inner = self.lock();
         let Some(attempt) = inner.attempts.get(token) else {
-            return Answer::Unknown;
+            return Status::Unknown;
         };
         if attempt.claim != claim {
-            return Answer::Unknown;
+            return Status::Unknown;
         }
         match &attempt.state {
-            State::Claiming | State::Held | State::Dispatched => Answer::Running,
-            State::Done(response) => Answer::Done(response.clone()),
-            State::NotRun => Answer::NotRun,
-            State::Lost => Answer::Lost,
+            State::Claiming | State::Held | State::Dispatched => Status::Running,
+            State::Done(response) => Status::Done(response.clone()),
+            State::NotRun => Status::NotRun,
+            State::Lost => Status::Lost,
         }
     }
 
--- a/node/src/service.rs
+++ b/node/src/service.rs
@@ -11,7 +11,7 @@
 use crate::{
     configuration,
     dispatcher::{Handle, Sender},
-    peer::{self, Answer},
+    peer::{self, Status},
     replay::Attempts,
 };
 
@@ -42,20 +42,20 @@
 }
 
 impl peer::Service for Service {
-    fn answer(&self, claim: &str, token: &str) -> Answer {
-        self.attempts.answer(claim, token)
+    fn attempt_status(&self, claim: &str, token: &str) -> Status {
+        self.attempts.status(claim, token)
     }
 
     fn configuration(&self, above: id::Generation) -> Option<layout::Configuration> {
-        self.configuration.newer(above)
+        self.configuration.record_above(above)
     }
 
     fn generation(&self) -> id::Generation {
         self.configuration.generation()
     }
 
-    fn outdated(&self, generation: id::Generation) {
-        self.configuration.outdated(generation);
+    fn note_generation(&self, generation: id::Generation) {
+        self.configuration.note_generation(generation);
     }
 
     fn admission(&self, sender: id::Node, message: event::Message) {
--- a/node/tests/chain/mod.rs
+++ b/node/tests/chain/mod.rs
@@ -22,7 +22,7 @@
     filter::Chain,
     limit::Limiter,
     metrics::Metrics,
-    peer::{Answer, Error, Peers},
+    peer::{Error, Peers, Status},
     replay::Attempts,
     rules::Rules,
     settings::Limits,
@@ -306,7 +306,7 @@
 pub struct NoPeers;
 
 impl Peers for NoPeers {
-    async fn answer(&self, node: &id::Node, _: &str, _: &str) -> Result<Answer, Error> {
+    async fn attempt_status(&self, node: &id::Node, _: &str, _: &str) -> Result<Status, Error> {
         Err(Error::NotLive(node.clone()))
     }
 
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -66,7 +66,7 @@
     generation: watch::Sender<u64>,
     peers: Mutex<Option<peer::Handle>>,
     /// Answers by claim key and attempt token.
-    pub answers: Mutex<BTreeMap<(String, String), peer::Answer>>,
+    pub answers: Mutex<BTreeMap<(String, String), peer::Status>>,
     messages: mpsc::UnboundedSender<(id::Node, Message)>,
 }
 
@@ -111,10 +111,10 @@
 }
 
 impl peer::Service for Service {
-    fn answer(&self, claim: &str, token: &str) -> peer::Answer {
+    fn attempt_status(&self, claim: &str, token: &str) -> peer::Status {
         let key = (claim.to_owned(), token.to_owned());
         let answers = self.answers.lock().unwrap();
-        answers.get(&key).cloned().unwrap_or(peer::Answer::Unknown)
+        answers.get(&key).cloned().unwrap_or(peer::Status::Unknown)
     }
 
     fn configuration(&self, above: id::Generation) -> Option<layout::Configuration> {
@@ -126,7 +126,7 @@
         id::Generation(*self.generation.borrow())
     }
 
-    fn outdated(&self, above: id::Generation) {
+    fn note_generation(&self, above: id::Generation) {
         let peers = self.peers.lock().unwrap().clone();
         let generation = self.generation.clone();
         let Some(peers) = peers else { return };
--- a/node/tests/test_claim.rs
+++ b/node/tests/test_claim.rs
@@ -7,7 +7,7 @@
 
 use dottereltally::{
     claim::{Error, Held, Keeper, Limits, Rejection, Scope},
-    peer::{self, Answer, Peers, Response},
+    peer::{self, Peers, Response, Status},
     replay::{self, Attempts},
 };
 use dottereltally_lib::{event, id};
@@ -380,7 +380,7 @@
 struct UnresponsivePeers;
 
 impl Peers for UnresponsivePeers {
-    async fn answer(&self, _: &id::Node, _: &str, _: &str) -> Result<Answer, peer::Error> {
+    async fn attempt_status(&self, _: &id::Node, _: &str, _: &str) -> Result<Status, peer::Error> {
         std::future::pending().await
     }
 
@@ -670,10 +670,10 @@
     let dispatched = node.acquire().await.unwrap().dispatch().unwrap();
     let entry = cluster.claim().await.unwrap();
     let token = cluster.token().await.unwrap();
-    let answer = || node.attempts.answer(&entry.key, &token);
-    assert_eq!(answer(), Answer::Running);
+    let status = || node.attempts.status(&entry.key, &token);
+    assert_eq!(status(), Status::Running);
     dispatched.complete(response("paid"));
-    assert_eq!(answer(), Answer::Unknown);
+    assert_eq!(status(), Status::Unknown);
 }
 
 #[tokio::test(start_paused = true)]
@@ -681,6 +681,6 @@
     let cluster = Cluster::new();
     let node = cluster.node("a");
     let held = node.acquire().await.unwrap();
-    let answer = node.attempts.answer("another", held.token());
-    assert_eq!(answer, Answer::Unknown);
+    let status = node.attempts.status("another", held.token());
+    assert_eq!(status, Status::Unknown);
 }
--- a/node/tests/test_configuration.rs
+++ b/node/tests/test_configuration.rs
@@ -8,7 +8,7 @@
 
 use dottereltally::{
     configuration::{Arguments, Controller, Counters, Handle, Message},
-    peer::{self, Answer, Peers},
+    peer::{self, Peers, Status},
 };
 use dottereltally_lib::{event, id};
 use dottereltally_store::{
@@ -32,12 +32,12 @@
 }
 
 impl Peers for FakePeers {
-    async fn answer(
+    async fn attempt_status(
         &self,
         node: &id::Node,
         _claim: &str,
         _token: &str,
-    ) -> Result<Answer, peer::Error> {
+    ) -> Result<Status, peer::Error> {
         Err(peer::Error::NotLive(node.clone()))
     }
 
@@ -208,10 +208,10 @@
     store.set_down(true);
     wait_for_reads().await;
     *node.peer.record.lock().unwrap() = Some(record(2));
-    node.handle.outdated(id::Generation(2));
+    node.handle.note_generation(id::Generation(2));
     assert!(node.wait_in_force(2).await <= MAX_DELAY);
     let requests = *node.peer.requests.lock().unwrap();
-    node.handle.outdated(id::Generation(2));
+    node.handle.note_generation(id::Generation(2));
     wait_for_reads().await;
     assert_eq!(*node.peer.requests.lock().unwrap(), requests);
 }
@@ -231,7 +231,7 @@
     // From a peer.
     node.offer(record(2));
     *node.peer.record.lock().unwrap() = Some(record(2));
-    node.handle.outdated(id::Generation(2));
+    node.handle.note_generation(id::Generation(2));
     wait_for_reads().await;
     assert_eq!(node.handle.generation(), id::Generation(5));
     assert_eq!(node.counters.taken.get(), 1);
@@ -243,7 +243,7 @@
     };
     node.offer(conflicting);
     wait_for_reads().await;
-    assert_eq!(node.handle.newer(id::Generation(4)), Some(record(5)));
+    assert_eq!(node.handle.record_above(id::Generation(4)), Some(record(5)));
 }
 
 #[tokio::test(start_paused = true)]
@@ -313,6 +313,6 @@
     write(&store, &record(5));
     let node = Node::start(store).await;
     node.wait_in_force(5).await;
-    assert_eq!(node.handle.newer(id::Generation(4)), Some(record(5)));
-    assert_eq!(node.handle.newer(id::Generation(5)), None);
+    assert_eq!(node.handle.record_above(id::Generation(4)), Some(record(5)));
+    assert_eq!(node.handle.record_above(id::Generation(5)), None);
 }
--- a/node/tests/test_peer.rs
+++ b/node/tests/test_peer.rs
@@ -6,7 +6,7 @@
 use std::{net::TcpListener, sync::Arc, time::Duration};
 
 use common::{Messages, Service};
-use dottereltally::peer::{self, Answer, Error, Handle, Metrics, Peers, Response};
+use dottereltally::peer::{self, Error, Handle, Metrics, Peers, Response, Status};
 use dottereltally_lib::{event, id, size};
 use rand::{Rng, RngCore, SeedableRng, rngs::SmallRng};
 use rstest::rstest;
@@ -46,7 +46,8 @@
 
 /// Makes a node at this address the only peer of `node`.
 fn set_peer(node: &Node, other: &str, address: &str) {
-    node.handle.update(vec![(other.into(), address.to_owned())]);
+    node.handle
+        .set_addresses(vec![(other.into(), address.to_owned())]);
 }
 
 /// Returns a demand that is identified by its number of requests.
@@ -68,17 +69,17 @@
 }
 
 #[rstest]
-#[case(Answer::Unknown)]
-#[case(Answer::Running)]
-#[case(Answer::NotRun)]
-#[case(Answer::Lost)]
-#[case(Answer::Done(Response {
+#[case(Status::Unknown)]
+#[case(Status::Running)]
+#[case(Status::NotRun)]
+#[case(Status::Lost)]
+#[case(Status::Done(Response {
     status: 200,
     content_type: "application/json".to_owned(),
     body: vec![0, 1, 255],
 }))]
 #[tokio::test]
-async fn the_answer_of_an_attempt_arrives_unchanged(#[case] answer: Answer) {
+async fn the_answer_of_an_attempt_arrives_unchanged(#[case] status: Status) {
     let (a, b) = (start("a"), start("b"));
     set_peer(&a, "b", &b.address);
     let key = ("claim".to_owned(), "token".to_owned());
@@ -86,16 +87,16 @@
         .answers
         .lock()
         .unwrap()
-        .insert(key, answer.clone());
-    let got = a.handle.answer(&"b".into(), "claim", "token").await;
-    assert_eq!(got, Ok(answer));
+        .insert(key, status.clone());
+    let got = a.handle.attempt_status(&"b".into(), "claim", "token").await;
+    assert_eq!(got, Ok(status));
 }
 
 #[rstest]
 #[tokio::test]
 async fn a_call_to_an_unknown_node_fails_as_not_live() {
     let a = start("a");
-    let got = a.handle.answer(&"b".into(), "claim", "token").await;
+    let got = a.handle.attempt_status(&"b".into(), "claim", "token").await;
     assert_eq!(got, Err(Error::NotLive("b".into())));
 }
 
@@ -141,7 +142,7 @@
     set_peer(&a, "b", &b.address);
     for _ in 0..20 {
         a.handle
-            .answer(&"b".into(), "claim", "token")
+            .attempt_status(&"b".into(), "claim", "token")
             .await
             .unwrap();
     }
@@ -178,12 +179,12 @@
     let (silence, silenced) = watch::channel(false);
     let proxy = tokio::spawn(proxy(listener, b.address.clone(), silenced));
     a.handle
-        .answer(&"b".into(), "claim", "token")
+        .attempt_status(&"b".into(), "claim", "token")
         .await
         .unwrap();
     silence.send(true).unwrap();
     a.handle
-        .answer(&"b".into(), "claim", "token")
+        .attempt_status(&"b".into(), "claim", "token")
         .await
         .unwrap();
     assert_eq!(a.metrics.opened.get(), 2);
@@ -203,7 +204,7 @@
     assert_eq!(request_count(&b.messages.recv().await.unwrap().1), 1);
     // The reply to the message comes before the reply to this call.
     a.handle
-        .answer(&"b".into(), "claim", "token")
+        .attempt_status(&"b".into(), "claim", "token")
         .await
         .unwrap();
     silence.send(true).unwrap();
@@ -275,12 +276,12 @@
         // The node may reset the connection instead of closing it.
         let _ = stream.read_to_end(&mut rest).await;
         if round % 50 == 0 {
-            let answer = a.handle.answer(&"b".into(), "claim", "token").await;
-            assert_eq!(answer, Ok(Answer::Unknown), "seed {SEED}, round {round}");
+            let status = a.handle.attempt_status(&"b".into(), "claim", "token").await;
+            assert_eq!(status, Ok(Status::Unknown), "seed {SEED}, round {round}");
         }
     }
-    let answer = a.handle.answer(&"b".into(), "claim", "token").await;
-    assert_eq!(answer, Ok(Answer::Unknown), "seed {SEED}");
+    let status = a.handle.attempt_status(&"b".into(), "claim", "token").await;
+    assert_eq!(status, Ok(Status::Unknown), "seed {SEED}");
     assert!(b.metrics.malformed.get() > 0, "seed {SEED}");
 }
 
@@ -290,7 +291,7 @@
     let (a, b) = (start("a"), start("b"));
     let listener = Listener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
-    a.handle.update(vec![
+    a.handle.set_addresses(vec![
         ("bad".into(), address),
         ("b".into(), b.address.clone()),
     ]);
@@ -303,10 +304,16 @@
         }
     });
     for _ in 0..20 {
-        let answer = a.handle.answer(&"bad".into(), "claim", "token").await;
-        assert!(matches!(answer, Err(Error::Silent { .. })), "seed {SEED}");
+        let status = a
+            .handle
+            .attempt_status(&"bad".into(), "claim", "token")
+            .await;
+        assert!(
+            matches!(status, Err(Error::Unreachable { .. })),
+            "seed {SEED}"
+        );
     }
-    let answer = a.handle.answer(&"b".into(), "claim", "token").await;
-    assert_eq!(answer, Ok(Answer::Unknown), "seed {SEED}");
+    let status = a.handle.attempt_status(&"b".into(), "claim", "token").await;
+    assert_eq!(status, Ok(Status::Unknown), "seed {SEED}");
     bad_peer.abort();
 }
