--- a/node/src/controllers.rs
+++ b/node/src/controllers.rs
@@ -138,7 +138,7 @@
     executor: Executor,
 ) -> eyre::Result<(Sender, JoinHandle<()>)> {
     let arguments = dispatcher::Arguments {
-        core: Scheduler::new(scheduler::Settings {
+        scheduler: Scheduler::new(scheduler::Settings {
             node: base.settings.node.clone(),
             data_centre: base.settings.data_centre.clone(),
             seed: rand::random(),
@@ -175,7 +175,7 @@
     loop {
         let current = rules.borrow_and_update().clone();
         if let Some(current) = current {
-            dispatcher.tell(Event::Configured(Arc::clone(&current.configuration)));
+            dispatcher.send(Event::Configured(Arc::clone(&current.configuration)));
         }
         if rules.changed().await.is_err() {
             return;
--- a/node/src/dispatch.rs
+++ b/node/src/dispatch.rs
@@ -231,7 +231,7 @@
     let Some(consumed) = claim.consume() else {
         chain
             .dispatcher
-            .tell(Event::Ended(admitted.id(), Outcome::Cancelled));
+            .send(Event::Ended(admitted.id(), Outcome::Cancelled));
         return Err(Error::ClaimExpired);
     };
     let dispatched = admitted.dispatch();
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -39,7 +39,7 @@
 /// Handle of the dispatcher; clones share it.
 pub trait Handle: Clone + Send + Sync + 'static {
     /// Sends an event to the core without waiting.
-    fn tell(&self, event: event::Event);
+    fn send(&self, event: event::Event);
 
     /// Waits until the core has assigned an endpoint.
     ///
@@ -73,7 +73,7 @@
 /// Carries out those effects of the core that do not answer a waiting request.
 pub trait Sink: Send + Sync + 'static {
     /// Probes an endpoint on a new connection and reports the result.
-    fn probe(&self, core: &Sender, endpoint: id::Endpoint);
+    fn probe(&self, dispatcher: &Sender, endpoint: id::Endpoint);
 
     /// Tells the peers the fingerprint of a request that crashed endpoints.
     fn quarantine(&self, fingerprint: id::Fingerprint);
@@ -120,8 +120,8 @@
 
 /// Arguments of the actor.
 pub struct Arguments {
-    /// The core.
-    pub core: Scheduler,
+    /// The decision core.
+    pub scheduler: Scheduler,
     /// The clock that drives it.
     pub clock: Clock,
     /// Carries out its effects.
@@ -130,7 +130,7 @@
 
 /// State of the actor.
 pub struct State {
-    core: Scheduler,
+    scheduler: Scheduler,
     clock: Clock,
     sink: Box<dyn Sink>,
     myself: Sender,
@@ -149,7 +149,7 @@
     ) -> Result<State, ActorProcessingErr> {
         myself.send_interval(TICK_INTERVAL, || Message::Event(Event::Tick));
         Ok(State {
-            core: arguments.core,
+            scheduler: arguments.scheduler,
             clock: arguments.clock,
             sink: arguments.sink,
             myself: Sender::new(myself, arguments.clock),
@@ -187,8 +187,8 @@
     fn view(&self) -> View {
         let now = self.clock.now();
         View {
-            endpoints: self.core.endpoints(now),
-            services: self.core.services(now),
+            endpoints: self.scheduler.endpoints(now),
+            services: self.scheduler.services(now),
         }
     }
 
@@ -197,7 +197,7 @@
     fn process(&mut self, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
-            let effects = self.core.handle(self.clock.now(), event);
+            let effects = self.scheduler.handle(self.clock.now(), event);
             for effect in effects {
                 events.extend(self.perform(effect));
             }
@@ -303,7 +303,7 @@
 }
 
 impl Handle for Sender {
-    fn tell(&self, event: Event) {
+    fn send(&self, event: Event) {
         self.cast(Message::Event(event));
     }
 
--- a/node/src/effects.rs
+++ b/node/src/effects.rs
@@ -42,15 +42,15 @@
 }
 
 impl Sink for Executor {
-    fn probe(&self, core: &Sender, endpoint: id::Endpoint) {
+    fn probe(&self, dispatcher: &Sender, endpoint: id::Endpoint) {
         let address = self.book.get(&endpoint);
-        let core = core.clone();
+        let dispatcher = dispatcher.clone();
         tokio::spawn(async move {
             let answers = match address {
                 Some(address) => observer::probe(&address).await,
                 None => false,
             };
-            core.tell(Event::Probed(endpoint, answers));
+            dispatcher.send(Event::Probed(endpoint, answers));
         });
     }
 
--- a/node/src/membership.rs
+++ b/node/src/membership.rs
@@ -294,7 +294,7 @@
             Effect::Members(members) => self.publish(&members),
             Effect::Fingerprints(fingerprints) => {
                 self.metrics.fingerprints.inc_by(fingerprints.len() as u64);
-                self.dispatcher.tell(Event::Suspected(fingerprints));
+                self.dispatcher.send(Event::Suspected(fingerprints));
                 self.schedule_spread(myself);
             }
             Effect::NewerGeneration(node, generation) => {
@@ -330,7 +330,7 @@
             live.push((member.node.clone(), member.data_centre.clone()));
         }
         tracing::info!(members = live.len(), "live nodes changed");
-        self.dispatcher.tell(Event::Members(live));
+        self.dispatcher.send(Event::Members(live));
     }
 
     /// Sends the last updates and signals `done` once they were answered or
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -195,7 +195,7 @@
     tracing::info!("shutting down: not ready any more");
     sleep(settings.shutdown.notice).await;
     phase.drain();
-    controllers.dispatcher.tell(Event::Draining);
+    controllers.dispatcher.send(Event::Draining);
     tracing::info!("shutting down: no new requests");
     let finishing = async {
         let _ = (&mut servers.callers).await;
--- a/node/src/observer.rs
+++ b/node/src/observer.rs
@@ -125,7 +125,7 @@
 
     fn update(&mut self, snapshot: &Snapshot) {
         self.dispatcher
-            .tell(Event::Listed(snapshot.endpoints.clone()));
+            .send(Event::Listed(snapshot.endpoints.clone()));
         // Never fails, also if no poll task subscribes.
         self.interval
             .send_replace(interval(snapshot.endpoints.len()));
@@ -192,6 +192,6 @@
             continue;
         };
         metrics.bytes.inc_by(bytes as u64);
-        dispatcher.tell(Event::Reported(record.id.clone(), load));
+        dispatcher.send(Event::Reported(record.id.clone(), load));
     }
 }
--- a/node/src/observer/cache.rs
+++ b/node/src/observer/cache.rs
@@ -164,7 +164,7 @@
     };
     metrics.streams.inc();
     if let Some(cleared) = numbering.restart() {
-        dispatcher.tell(Event::Cached(record.id.clone(), cleared));
+        dispatcher.send(Event::Cached(record.id.clone(), cleared));
     }
     let mut buffer = BytesMut::new();
     loop {
@@ -182,7 +182,7 @@
             };
             metrics.events.inc();
             metrics.gaps.inc_by(u64::from(gap));
-            dispatcher.tell(Event::Cached(record.id.clone(), cache));
+            dispatcher.send(Event::Cached(record.id.clone(), cache));
         }
         if buffer.len() > MAX_EVENT_BYTES {
             return End::Broken;
--- a/node/src/service.rs
+++ b/node/src/service.rs
@@ -60,7 +60,7 @@
 
     fn admission(&self, sender: id::Node, message: event::Message) {
         if let Some(dispatcher) = self.dispatcher.get() {
-            dispatcher.tell(Event::Peer(sender, message));
+            dispatcher.send(Event::Peer(sender, message));
         }
     }
 }
--- a/node/src/settings/check.rs
+++ b/node/src/settings/check.rs
@@ -16,7 +16,7 @@
     /// Line, if known.
     pub line: Option<u64>,
     /// What is wrong and how to correct it.
-    pub remedy: String,
+    pub message: String,
 }
 
 impl fmt::Display for Fault {
@@ -25,7 +25,7 @@
         if let Some(line) = self.line {
             write!(f, "{line}:")?;
         }
-        write!(f, " {}", self.remedy)
+        write!(f, " {}", self.message)
     }
 }
 
@@ -38,11 +38,11 @@
 }
 
 impl Check {
-    pub(super) fn fault(&mut self, line: Option<u64>, remedy: impl Into<String>) {
+    pub(super) fn fault(&mut self, line: Option<u64>, message: impl Into<String>) {
         self.faults.push(Fault {
             file: self.file.clone(),
             line,
-            remedy: remedy.into(),
+            message: message.into(),
         });
     }
 
--- a/node/src/settings/wire.rs
+++ b/node/src/settings/wire.rs
@@ -111,11 +111,11 @@
         Ok(wire) => wire,
         Err(error) => {
             let line = error.location().map(|location| location.line());
-            let remedy = format!(
+            let message = format!(
                 "{}; see docs/configuration.md for the fields",
                 first_line(&error)
             );
-            check.fault(line, remedy);
+            check.fault(line, message);
             return Err(check.faults);
         }
     };
--- a/node/src/tracker.rs
+++ b/node/src/tracker.rs
@@ -93,7 +93,7 @@
         self.started = true;
         let delay = self.clock.now().since(self.profile.received);
         self.metrics.started(self.profile.tier, delay);
-        self.dispatcher.tell(Event::Started(self.request));
+        self.dispatcher.send(Event::Started(self.request));
     }
 
     /// Adds output tokens and reports them, at most once per [`REPORT_PERIOD`].
@@ -105,7 +105,7 @@
         self.last_report = Instant::now();
         let tokens = Tokens(std::mem::take(&mut self.unreported));
         self.dispatcher
-            .tell(Event::Progressed(self.request, tokens));
+            .send(Event::Progressed(self.request, tokens));
     }
 
     /// Records the status of the response.
@@ -174,7 +174,7 @@
             _ => Tokens(0),
         };
         self.metrics.ended(&self.profile, result, cached);
-        self.dispatcher.tell(Event::Ended(self.request, outcome));
+        self.dispatcher.send(Event::Ended(self.request, outcome));
     }
 }
 
--- a/node/tests/chain/mod.rs
+++ b/node/tests/chain/mod.rs
@@ -105,7 +105,7 @@
 }
 
 impl Handle for Dispatcher {
-    fn tell(&self, event: Event) {
+    fn send(&self, event: Event) {
         self.events.send_modify(|events| events.push(event));
     }
 
@@ -114,7 +114,7 @@
     }
 
     async fn readmit(&self, request: Request<Claimed>) -> Result<Request<Admitted>, Refused> {
-        self.tell(Event::Unsent(request.id()));
+        self.send(Event::Unsent(request.id()));
         self.answer(request).await
     }
 }
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -48,7 +48,7 @@
 }
 
 impl dispatcher::Handle for Dispatcher {
-    fn tell(&self, event: Event) {
+    fn send(&self, event: Event) {
         self.events.send_modify(|events| events.push(event));
     }
 
--- a/node/tests/test_dispatcher.rs
+++ b/node/tests/test_dispatcher.rs
@@ -31,9 +31,9 @@
 struct Probes(Arc<watch::Sender<Vec<id::Endpoint>>>);
 
 impl Sink for Probes {
-    fn probe(&self, core: &Sender, endpoint: id::Endpoint) {
+    fn probe(&self, dispatcher: &Sender, endpoint: id::Endpoint) {
         self.0.send_modify(|probes| probes.push(endpoint.clone()));
-        core.tell(Event::Probed(endpoint, true));
+        dispatcher.send(Event::Probed(endpoint, true));
     }
 
     fn quarantine(&self, _: id::Fingerprint) {}
@@ -56,7 +56,7 @@
         let probes = Probes(Arc::new(watch::Sender::new(Vec::new())));
         let clock = Clock::start();
         let arguments = Arguments {
-            core: Scheduler::new(Settings {
+            scheduler: Scheduler::new(Settings {
                 node: id::Node::from("entry-1"),
                 data_centre: id::DataCentre::from("plovdiv"),
                 seed: SEED,
@@ -73,12 +73,12 @@
         for service in configuration.services.values_mut() {
             service.window = Tokens(1);
         }
-        sender.tell(Event::Configured(Arc::new(configuration)));
-        sender.tell(Event::Members(vec![(
+        sender.send(Event::Configured(Arc::new(configuration)));
+        sender.send(Event::Members(vec![(
             id::Node::from("entry-1"),
             id::DataCentre::from("plovdiv"),
         )]));
-        sender.tell(Event::Listed(vec![Record {
+        sender.send(Event::Listed(vec![Record {
             id: id::Endpoint::from("ledger-1"),
             address: "127.0.0.1:1".to_owned(),
             service: id::Service::from("yard-app"),
@@ -118,7 +118,7 @@
 
     /// Reports the end of a request.
     fn end(&self, request: id::Request, outcome: Outcome) {
-        self.sender.tell(Event::Ended(request, outcome));
+        self.sender.send(Event::Ended(request, outcome));
     }
 }
 
@@ -214,7 +214,7 @@
     let harness = Harness::start().await;
     let first = harness.sender.admit(harness.request("yard-app")).await;
     assert!(first.is_ok());
-    harness.sender.tell(Event::Draining);
+    harness.sender.send(Event::Draining);
     let refused = harness.sender.admit(harness.request("yard-app")).await;
     let refused = refused.expect_err("it would wait");
     assert_eq!(refused.refusal.reason, refusal::Reason::Shutdown);
--- a/node/tests/test_path_random.rs
+++ b/node/tests/test_path_random.rs
@@ -55,8 +55,8 @@
 struct SuccessfulProbes;
 
 impl Sink for SuccessfulProbes {
-    fn probe(&self, core: &Sender, endpoint: id::Endpoint) {
-        core.tell(Event::Probed(endpoint, true));
+    fn probe(&self, dispatcher: &Sender, endpoint: id::Endpoint) {
+        dispatcher.send(Event::Probed(endpoint, true));
     }
 
     fn quarantine(&self, _: id::Fingerprint) {}
@@ -78,7 +78,7 @@
 
 async fn start_dispatcher(clock: Clock, seed: u64) -> Sender {
     let arguments = Arguments {
-        core: Scheduler::new(Settings {
+        scheduler: Scheduler::new(Settings {
             node: id::Node::from("entry-1"),
             data_centre: id::DataCentre::from("plovdiv"),
             seed,
@@ -98,8 +98,8 @@
             Kind::Plain => 1,
         });
     }
-    sender.tell(Event::Configured(Arc::new(configuration)));
-    sender.tell(Event::Members(vec![(
+    sender.send(Event::Configured(Arc::new(configuration)));
+    sender.send(Event::Members(vec![(
         id::Node::from("entry-1"),
         id::DataCentre::from("plovdiv"),
     )]));
@@ -116,7 +116,7 @@
             });
         }
     }
-    sender.tell(Event::Listed(records));
+    sender.send(Event::Listed(records));
     sender
 }
 
--- a/node/tests/test_settings.rs
+++ b/node/tests/test_settings.rs
@@ -34,7 +34,7 @@
     let faults = parse(content).expect_err("faults");
     let mut found = Vec::new();
     for fault in faults {
-        found.push((fault.line, fault.remedy));
+        found.push((fault.line, fault.message));
     }
     found
 }
@@ -124,8 +124,8 @@
         Some(12),
     ];
     assert_eq!(lines, expected, "{found:#?}");
-    for (_, remedy) in &found {
-        assert!(remedy.contains(';'), "no remedy in {remedy}");
+    for (_, message) in &found {
+        assert!(message.contains(';'), "no remedy in {message}");
     }
 }
 
