--- a/cli/src/platform.rs
+++ b/cli/src/platform.rs
@@ -7,8 +7,8 @@
 use dottereltally_store::{
     etcd,
     host::{self, List},
-    hosts,
-    http::{Client, Limit},
+    host_list,
+    http::{Client, Deadlines},
 };
 use eyre::{WrapErr, ensure};
 use futures_util::future;
@@ -90,7 +90,7 @@
                 "no host list; give `--hosts http://IP:PORT/PATH` before the command or set {HOSTS_VARIABLE}"
             )
         })?;
-        let list = hosts::List::new(address, CALL_TIMEOUT)?;
+        let list = host_list::List::new(address, CALL_TIMEOUT)?;
         let snapshot = list.read().await?;
         let reports = snapshot.entries.into_iter().map(|entry| async {
             let status = fetch_status(&entry.operations).await;
@@ -114,7 +114,7 @@
         .header("host", address)
         .body(Full::<Bytes>::default())?;
     let answer = client
-        .call(&request, Limit::of(CALL_TIMEOUT))
+        .call(&request, Deadlines::after(CALL_TIMEOUT))
         .await
         .wrap_err_with(|| format!("no status from {address}; check the node and the network"))?;
     serde_json::from_slice(&answer.body).wrap_err("the status page is not JSON")
--- a/node/examples/claim_runs/simulation/cluster.rs
+++ b/node/examples/claim_runs/simulation/cluster.rs
@@ -132,7 +132,7 @@
 
     fn start(&self, index: usize, random: &mut SmallRng) -> Process {
         let store = self.service.connect();
-        store.script(faults(SmallRng::from_rng(random), self.rates.call));
+        store.set_fault_script(faults(SmallRng::from_rng(random), self.rates.call));
         let attempts = Attempts::default();
         self.network
             .route(&node_name(index), Some(attempts.clone()));
--- a/node/src/claim/breaker.rs
+++ b/node/src/claim/breaker.rs
@@ -20,7 +20,7 @@
 pub(super) const TRIAL_PERIOD: Duration = Duration::from_millis(500);
 
 /// Key that a trial reads; it need not exist.
-const TRIAL_KEY: &str = layout::CLAIMS;
+const TRIAL_KEY: &str = layout::CLAIMS_PREFIX;
 
 /// Which claims are admitted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/node/src/claim/identity.rs
+++ b/node/src/claim/identity.rs
@@ -71,7 +71,7 @@
     digest.update(&scope.key);
     format!(
         "{}{}/{:x}",
-        layout::CLAIMS,
+        layout::CLAIMS_PREFIX,
         scope.workspace,
         digest.finalize()
     )
--- a/node/src/configuration/source.rs
+++ b/node/src/configuration/source.rs
@@ -142,7 +142,7 @@
 /// Returns the transaction that reads the key's value unless the value was last
 /// modified at this revision.
 fn unless_modified_at(revision: Revision) -> Transaction {
-    let key = layout::CONFIGURATION.to_owned();
+    let key = layout::CONFIGURATION_KEY.to_owned();
     Transaction {
         compares: vec![Compare::Modified(key.clone(), revision)],
         success: Vec::new(),
@@ -165,7 +165,7 @@
 /// Watches the key from a revision until the watch ends or has missed a change.
 async fn watch_from<S: kv::Store>(feed: &Feed, store: &S, from: Revision) {
     feed.counters.watches.inc();
-    let Ok(subscription) = store.watch(layout::CONFIGURATION, from).await else {
+    let Ok(subscription) = store.watch(layout::CONFIGURATION_KEY, from).await else {
         return;
     };
     tokio::select! {
--- a/node/src/controllers.rs
+++ b/node/src/controllers.rs
@@ -10,7 +10,7 @@
     membership as members,
     scheduler::{self, Scheduler},
 };
-use dottereltally_store::{etcd, hosts as host_list};
+use dottereltally_store::{etcd, host_list};
 use eyre::WrapErr;
 use prometheus_client::{metrics::counter::Counter, registry::Registry};
 use ractor::Actor;
--- a/node/tests/test_claim.rs
+++ b/node/tests/test_claim.rs
@@ -72,7 +72,7 @@
 
     /// Returns the only claim that the key-value service holds.
     async fn claim(&self) -> Option<Entry> {
-        let mut entries = self.service.list(layout::CLAIMS, 10).await.unwrap();
+        let mut entries = self.service.list(layout::CLAIMS_PREFIX, 10).await.unwrap();
         assert!(entries.len() <= 1, "{entries:?}");
         entries.pop()
     }
@@ -291,7 +291,7 @@
     let node = cluster.node("a");
     drop(node.acquire().await.unwrap());
     time::sleep(Duration::from_secs(1)).await;
-    node.store.script(|_| Some(Fault::CallLost));
+    node.store.set_fault_script(|_| Some(Fault::CallLost));
     let first = expect_rejection(node.acquire().await);
     assert!(matches!(first, Rejection::Unavailable { .. }), "{first:?}");
     time::sleep(Duration::from_secs(10)).await;
@@ -330,7 +330,7 @@
     let cluster = Cluster::new();
     let node = cluster.node("a");
     node.acquire().await.unwrap().release().await.unwrap();
-    node.store.script(lose_transactions);
+    node.store.set_fault_script(lose_transactions);
     let _unavailable = expect_rejection(node.acquire().await);
     let mut delayed_rounds = 0;
     for _ in 0..200 {
@@ -353,7 +353,7 @@
     // breaker opened.
     assert!(sent <= 1 + 4 * (delayed_rounds + 1), "{sent}");
     assert!(delayed_rounds > 0);
-    node.store.script(|_| None);
+    node.store.set_fault_script(|_| None);
     time::sleep(Duration::from_secs(1)).await;
     let _held = node.acquire().await.unwrap();
     let _again = expect_rejection(node.acquire().await);
@@ -446,7 +446,7 @@
     let (a, b) = (cluster.node("a"), cluster.node("b"));
     // The write takes effect, and no later call of this node arrives.
     a.store.inject(Call::Transact, Fault::AnswerLost);
-    a.store.script(lose_transactions);
+    a.store.set_fault_script(lose_transactions);
     let refused = expect_rejection(a.acquire().await);
     assert!(
         matches!(refused, Rejection::Unavailable { .. }),
@@ -457,7 +457,7 @@
     assert_eq!(b.keeper.counters().taken_over.get(), 1);
     assert_eq!(cluster.token().await.as_deref(), Some(held.token()));
     // The first node's late deletion does not remove the new claim.
-    a.store.script(|_| None);
+    a.store.set_fault_script(|_| None);
     time::sleep(Duration::from_mins(2)).await;
     assert_eq!(cluster.token().await.as_deref(), Some(held.token()));
 }
@@ -507,7 +507,7 @@
     let cluster = Cluster::new();
     let (a, b, c) = (cluster.node("a"), cluster.node("b"), cluster.node("c"));
     a.store.inject(Call::Transact, Fault::AnswerLost);
-    a.store.script(lose_transactions);
+    a.store.set_fault_script(lose_transactions);
     let _unavailable = expect_rejection(a.acquire().await);
     let (first, second) = tokio::join!(b.acquire(), c.acquire());
     let results = [first, second];
--- a/node/tests/test_configuration.rs
+++ b/node/tests/test_configuration.rs
@@ -124,7 +124,7 @@
 /// Writes the configuration in the format of the operators' tool.
 fn write(store: &Store, record: &layout::Configuration) {
     let value = serde_json::to_vec(record).unwrap();
-    store.poke(layout::CONFIGURATION, value);
+    store.put_directly(layout::CONFIGURATION_KEY, value);
 }
 
 /// Waits for several periodic reads.
@@ -268,7 +268,7 @@
     write(&store, &record(1));
     let node = Node::start(store.clone()).await;
     node.wait_in_force(1).await;
-    store.poke(layout::CONFIGURATION, b"{}".to_vec());
+    store.put_directly(layout::CONFIGURATION_KEY, b"{}".to_vec());
     wait_for_reads().await;
     assert!(node.counters.unreadable.get() > 0);
     assert_eq!(node.handle.generation(), id::Generation(1));
--- a/node/tests/test_filter.rs
+++ b/node/tests/test_filter.rs
@@ -357,7 +357,10 @@
     let reply = harness.send(request("POST", "/log", "{}")).await;
     assert_eq!(reply.status, StatusCode::CREATED);
     assert_eq!(harness.sent()[0].reuse, Reuse::Never);
-    assert_eq!(harness.store.connect().peek(layout::CLAIMS), None);
+    assert_eq!(
+        harness.store.connect().get_directly(layout::CLAIMS_PREFIX),
+        None
+    );
 }
 
 #[tokio::test]
@@ -453,7 +456,7 @@
     let refuse = Decision::Refuse(refusal::Reason::Overload);
     let harness = Harness::new(vec![refuse], vec![]);
     let mut transactions = 0;
-    harness.store.script(move |call| {
+    harness.store.set_fault_script(move |call| {
         transactions += u32::from(call == Call::Transact);
         (transactions > 1).then_some(Fault::Unreachable)
     });
--- a/node/tests/test_path_random.rs
+++ b/node/tests/test_path_random.rs
@@ -124,7 +124,7 @@
 fn faulty_store(seed: u64) -> Store {
     let store = Store::default().connect();
     let mut rng = SmallRng::seed_from_u64(seed);
-    store.script(move |_| match rng.random_range(0..100) {
+    store.set_fault_script(move |_| match rng.random_range(0..100) {
         0..3 => Some(Fault::Unreachable),
         3..6 => Some(Fault::CallLost),
         6..9 => Some(Fault::AnswerLost),
--- a/node/tests/test_platform.rs
+++ b/node/tests/test_platform.rs
@@ -107,7 +107,7 @@
     let held = acquire(&a).await?;
     platform.set(fault.clone()).await?;
     held.release().await?;
-    let claims = platform.store().list(layout::CLAIMS, 10).await?;
+    let claims = platform.store().list(layout::CLAIMS_PREFIX, 10).await?;
     assert!(claims.is_empty(), "{claims:?}");
     let dispatched = acquire(&a).await?.dispatch()?;
     platform.set(fault).await?;
@@ -163,7 +163,7 @@
             time: "2026-01-01T00:00:00Z".to_owned(),
             token: format!("token-{generation}"),
         };
-        let key = layout::CONFIGURATION.to_owned();
+        let key = layout::CONFIGURATION_KEY.to_owned();
         let value = serde_json::to_vec(&record)?;
         let compares = if generation == 1 {
             vec![Compare::Absent(key.clone())]
--- a/store/src/etcd.rs
+++ b/store/src/etcd.rs
@@ -25,7 +25,7 @@
 
 use crate::{
     etcd::error::{classify, from_body, map_unknown_lease, unreachable, unreadable},
-    http::{Answer, Client, Error as HttpError, Limit},
+    http::{Answer, Client, Deadlines, Error as HttpError},
     kv::{self, Entry, Error, Lease, Outcome, Revision, Transaction},
 };
 
@@ -92,7 +92,7 @@
                 deadline.saturating_duration_since(Instant::now()) / attempts_left;
             attempts_left -= 1;
             let connect = Instant::now() + attempt_timeout;
-            let deadlines = Limit {
+            let deadlines = Deadlines {
                 connect,
                 answer: if effect == Effect::Read {
                     connect
@@ -235,7 +235,7 @@
             },
         };
         let body = encode(&message)?;
-        let deadlines = Limit::of(self.0.timeout);
+        let deadlines = Deadlines::after(self.0.timeout);
         let mut last_error = unreachable("unknown address", "no address is configured");
         for (index, client) in self.clients() {
             let request = request(client.address(), "/v3/watch", &body)?;
--- a/store/src/hosts.rs
+++ b/store/src/host_list.rs
@@ -65,7 +65,7 @@
             .body(Full::new(Bytes::new()))
             .map_err(|error| unreachable(error.to_string()))?;
         let answer = client
-            .call(&request, http::Limit::of(self.0.timeout))
+            .call(&request, http::Deadlines::after(self.0.timeout))
             .await
             .map_err(|error| unreachable(error.to_string()))?;
         if answer.status != StatusCode::OK {
--- a/store/src/http.rs
+++ b/store/src/http.rs
@@ -42,17 +42,17 @@
 
 /// Deadlines of a call.
 #[derive(Clone, Copy, Debug)]
-pub struct Limit {
+pub struct Deadlines {
     /// For the connection.
     pub connect: time::Instant,
     /// For the whole answer.
     pub answer: time::Instant,
 }
 
-impl Limit {
+impl Deadlines {
     /// Builds deadlines that are both `timeout` from now.
     #[must_use]
-    pub fn of(timeout: Duration) -> Self {
+    pub fn after(timeout: Duration) -> Self {
         let deadline = time::Instant::now() + timeout;
         Self {
             connect: deadline,
@@ -224,7 +224,7 @@
     pub async fn call(
         &self,
         request: &Request<Full<Bytes>>,
-        deadlines: Limit,
+        deadlines: Deadlines,
     ) -> Result<Answer, Error> {
         let mut guard = IdleGuard::new(self);
         loop {
@@ -259,7 +259,7 @@
     pub async fn stream(
         &self,
         request: Request<Full<Bytes>>,
-        deadlines: Limit,
+        deadlines: Deadlines,
     ) -> Result<Stream, Error> {
         let mut connection = self.open(deadlines.connect).await?;
         let response = time::timeout_at(deadlines.answer, connection.send(request))
--- a/store/src/layout.rs
+++ b/store/src/layout.rs
@@ -4,11 +4,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Key of the configuration in force.
-pub const CONFIGURATION: &str = "/dottereltally/configuration";
+pub const CONFIGURATION_KEY: &str = "/dottereltally/configuration";
 /// Key prefix of the audit trail; the generation follows, padded to 20 digits.
 pub const AUDIT_PREFIX: &str = "/dottereltally/audit/";
 /// Key prefix of the claims.
-pub const CLAIMS: &str = "/dottereltally/claims/";
+pub const CLAIMS_PREFIX: &str = "/dottereltally/claims/";
 
 /// The configuration in force, as stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/store/src/lib.rs
+++ b/store/src/lib.rs
@@ -5,7 +5,7 @@
 
 pub mod etcd;
 pub mod host;
-pub mod hosts;
+pub mod host_list;
 pub mod http;
 pub mod kv;
 pub mod layout;
--- a/store/src/memory.rs
+++ b/store/src/memory.rs
@@ -82,7 +82,7 @@
 
     /// Sets a function that chooses the fault of each call without an injected
     /// one.
-    pub fn script(&self, choose: impl FnMut(Call) -> Option<Fault> + Send + 'static) {
+    pub fn set_fault_script(&self, choose: impl FnMut(Call) -> Option<Fault> + Send + 'static) {
         lock(&self.faults).script = Some(Box::new(choose));
     }
 
@@ -95,12 +95,12 @@
     /// Returns a key's entry directly, without faults and without counting a
     /// call.
     #[must_use]
-    pub fn peek(&self, key: &str) -> Option<Entry> {
+    pub fn get_directly(&self, key: &str) -> Option<Entry> {
         self.apply(|data| data.get(key))
     }
 
     /// Writes a key directly, without faults and without counting a call.
-    pub fn poke(&self, key: &str, value: Vec<u8>) {
+    pub fn put_directly(&self, key: &str, value: Vec<u8>) {
         self.apply(|data| data.put(key, value, None));
     }
 
--- a/store/src/proposal.rs
+++ b/store/src/proposal.rs
@@ -213,13 +213,13 @@
             token: self.token.clone(),
         };
         let not_modified = match state.current {
-            Some(_) => Compare::Modified(layout::CONFIGURATION.to_owned(), state.modified),
-            None => Compare::Absent(layout::CONFIGURATION.to_owned()),
+            Some(_) => Compare::Modified(layout::CONFIGURATION_KEY.to_owned(), state.modified),
+            None => Compare::Absent(layout::CONFIGURATION_KEY.to_owned()),
         };
         let audit_key = layout::audit_key(generation);
         let mut success = vec![
             Operation::Put(
-                layout::CONFIGURATION.to_owned(),
+                layout::CONFIGURATION_KEY.to_owned(),
                 encode(&configuration),
                 None,
             ),
@@ -279,7 +279,7 @@
 
 async fn read<S: Store>(store: &S) -> Result<State, Error> {
     let entry = store
-        .get(layout::CONFIGURATION)
+        .get(layout::CONFIGURATION_KEY)
         .await
         .map_err(Error::Platform)?;
     let Some(entry) = entry else {
--- a/store/tests/test_hosts.rs
+++ b/store/tests/test_host_list.rs
@@ -5,7 +5,7 @@
 use dottereltally_lib::{endpoint::Standing, id};
 use dottereltally_store::{
     host::{Error, List as _},
-    hosts::{List, parse},
+    host_list::{List, parse},
 };
 use eyre::Result;
 use rstest::rstest;
--- a/store/tests/test_memory.rs
+++ b/store/tests/test_memory.rs
@@ -67,11 +67,11 @@
     #[case] holds: bool,
 ) {
     let store = Store::default();
-    store.poke("k", b"a".to_vec());
+    store.put_directly("k", b"a".to_vec());
     let delete = Operation::Delete("k".to_owned());
     let outcome = store.transact(conditional(compare, delete)).await.unwrap();
     assert_eq!(outcome.succeeded, holds);
-    assert_eq!(store.peek("k").is_none(), holds);
+    assert_eq!(store.get_directly("k").is_none(), holds);
 }
 
 #[tokio::test(start_paused = true)]
@@ -86,13 +86,13 @@
     time::sleep(TTL / 2).await;
     assert_eq!(store.renew(lease).await, Ok(TTL));
     time::sleep(TTL / 2).await;
-    assert!(store.peek("k").is_some());
+    assert!(store.get_directly("k").is_some());
     time::sleep(TTL / 2).await;
-    assert!(store.peek("k").is_none());
+    assert!(store.get_directly("k").is_none());
     assert_eq!(store.renew(lease).await, Err(Error::UnknownLease(lease)));
     let refused = store.transact(conditional(absent(), bound)).await;
     assert_eq!(refused, Err(Error::UnknownLease(Lease(1))));
-    assert!(store.peek("k").is_none());
+    assert!(store.get_directly("k").is_none());
 }
 
 #[tokio::test(start_paused = true)]
@@ -101,9 +101,9 @@
     let lease = store.grant(TTL).await.unwrap();
     let bound = Operation::Put("k".to_owned(), Vec::new(), Some(lease));
     store.transact(conditional(absent(), bound)).await.unwrap();
-    store.poke("k", b"a".to_vec());
+    store.put_directly("k", b"a".to_vec());
     store.revoke(lease).await.unwrap();
-    assert!(store.peek("k").is_some());
+    assert!(store.get_directly("k").is_some());
 }
 
 #[rstest]
@@ -120,9 +120,9 @@
     store.inject(Call::Transact, fault);
     let result = store.transact(conditional(absent(), put("a"))).await;
     assert!(result.unwrap_err().may_have_taken_effect());
-    assert_eq!(store.peek("k").is_some(), at_once);
+    assert_eq!(store.get_directly("k").is_some(), at_once);
     time::sleep(Duration::from_secs(3)).await;
-    assert_eq!(store.peek("k").is_some(), in_the_end);
+    assert_eq!(store.get_directly("k").is_some(), in_the_end);
 }
 
 #[tokio::test(start_paused = true)]
@@ -138,8 +138,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_stale_read_returns_the_value_before_the_last_change() {
     let store = Store::default();
-    store.poke("k", b"a".to_vec());
-    store.poke("k", b"b".to_vec());
+    store.put_directly("k", b"a".to_vec());
+    store.put_directly("k", b"b".to_vec());
     store.inject(Call::Get, Fault::Stale);
     assert_eq!(store.get("k").await.unwrap().unwrap().value, b"a");
     assert_eq!(store.get("k").await.unwrap().unwrap().value, b"b");
@@ -148,8 +148,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_watch_reports_changes_before_and_after_its_start() {
     let store = Store::default();
-    store.poke("k", b"a".to_vec());
-    store.poke("other", b"x".to_vec());
+    store.put_directly("k", b"a".to_vec());
+    store.put_directly("other", b"x".to_vec());
     let mut watch = store.watch("k", Revision(1)).await.unwrap();
     let changes = watch.next().await.unwrap();
     assert!(matches!(&changes[..], [Change::Put(entry)] if entry.value == b"a"));
@@ -170,7 +170,7 @@
     let store = Store::default();
     let mut watch = store.watch("k", Revision(1)).await.unwrap();
     store.set_silent(true);
-    store.poke("k", b"a".to_vec());
+    store.put_directly("k", b"a".to_vec());
     let silent = time::timeout(Duration::from_mins(1), watch.next()).await;
     assert!(silent.is_err());
     store.set_silent(false);
@@ -182,7 +182,7 @@
 async fn a_prefix_is_listed_in_order_and_bounded() {
     let store = Store::default();
     for key in ["a/2", "a/1", "b/1", "a/3"] {
-        store.poke(key, Vec::new());
+        store.put_directly(key, Vec::new());
     }
     let keys: Vec<String> = store
         .list("a/", 2)
--- a/store/tests/test_proposal.rs
+++ b/store/tests/test_proposal.rs
@@ -37,7 +37,7 @@
 
 /// Waits until the first configuration is in the store.
 async fn wait_until_written(store: &Store) {
-    while store.peek(layout::CONFIGURATION).is_none() {
+    while store.get_directly(layout::CONFIGURATION_KEY).is_none() {
         time::sleep(Duration::from_millis(1)).await;
     }
 }
