--- a/testutils/examples/demo.rs
+++ b/testutils/examples/demo.rs
@@ -37,7 +37,7 @@
         print_addresses(&deployment)?;
         signal::ctrl_c().await?;
     }
-    println!("all requests succeeded");
+    println!("all as expected");
     Ok(())
 }
 
--- a/testutils/src/engine.rs
+++ b/testutils/src/engine.rs
@@ -219,7 +219,10 @@
         self.list_request(&id, &completion);
         let controls = self.controls.get();
         if !controls.models.is_empty() && !controls.models.contains(&completion.model) {
-            return Ok(error_response(StatusCode::NOT_FOUND, "model not loaded"));
+            return Ok(error_response(
+                StatusCode::NOT_FOUND,
+                "this model is not loaded",
+            ));
         }
         let abort_point = self.controls.modify(take_abort_point);
         if abort_point == AbortPoint::Before {
@@ -387,7 +390,7 @@
             "/v1/completions" => self.complete(Api::Text, request).await,
             _ => Ok(error_response(
                 StatusCode::NOT_FOUND,
-                "not found; an engine has no such path",
+                "an engine has no such path",
             )),
         }
     }
--- a/testutils/src/host_list.rs
+++ b/testutils/src/host_list.rs
@@ -76,7 +76,7 @@
         if request.uri().path() != PATH {
             return Ok(error_response(
                 StatusCode::NOT_FOUND,
-                "not found; the host list is at /hosts",
+                "the list is at /hosts",
             ));
         }
         Ok(json_response(StatusCode::OK, &self.read()))
--- a/testutils/src/ledger.rs
+++ b/testutils/src/ledger.rs
@@ -150,7 +150,7 @@
             "/load" => Ok(json_response(StatusCode::OK, &self.load_page())),
             "/cache/events" => Ok(error_response(
                 StatusCode::NOT_FOUND,
-                "a plain service has no cache events",
+                "a plain service has none",
             )),
             _ => self.execute(request).await,
         }
