--- a/cli/tests/test_cli.rs
+++ b/cli/tests/test_cli.rs
@@ -177,13 +177,13 @@
     let file = fixture.file("text.yaml", SAMPLE);
     fixture
         .platform
-        .switch("kv", &json!({"down": true}))
+        .set_controls("kv", &json!({"down": true}))
         .await?;
     let run = fixture.apply(&file, "ana").await?;
     assert_eq!(run.code, Some(4), "{}", run.errors);
     fixture
         .platform
-        .switch("kv", &json!({"down": false}))
+        .set_controls("kv", &json!({"down": false}))
         .await?;
     assert_eq!(fixture.run(&["show"]).await?.code, Some(1));
     Ok(())
@@ -195,7 +195,7 @@
     let file = fixture.file("text.yaml", SAMPLE);
     fixture
         .platform
-        .switch("kv", &json!({"lose_answers": 1}))
+        .set_controls("kv", &json!({"lose_answers": 1}))
         .await?;
     let run = fixture.apply(&file, "ana").await?;
     assert_eq!(run.code, Some(0), "{}", run.errors);
--- a/node/examples/path_cost.rs
+++ b/node/examples/path_cost.rs
@@ -57,7 +57,7 @@
 }
 
 async fn usage(deployment: &Deployment) -> Result<Usage> {
-    let address = deployment.operations(NODE)?;
+    let address = deployment.operations_address(NODE)?;
     let page = Call::new(&address, Method::GET, "/metrics").text().await?;
     let read = |name: &str| -> Result<f64> {
         let line = page.text.lines().find(|line| line.starts_with(name));
@@ -114,7 +114,7 @@
 
 #[expect(clippy::cast_precision_loss, reason = "counts are small")]
 async fn measure_plain(deployment: &Deployment) -> Result<()> {
-    let address = deployment.callers(NODE)?;
+    let address = deployment.caller_address(NODE)?;
     let before = usage(deployment).await?;
     let started = Instant::now();
     let call = Call::new(&address, Method::GET, "/tickets/1").key(KEY);
@@ -142,7 +142,7 @@
 
 #[expect(clippy::cast_precision_loss, reason = "counts are small")]
 async fn measure_streams(deployment: &Deployment) -> Result<()> {
-    let address = deployment.callers(NODE)?;
+    let address = deployment.caller_address(NODE)?;
     let mut spent = Vec::new();
     for tokens in TOKENS {
         let before = usage(deployment).await?;
@@ -164,7 +164,7 @@
 
 #[expect(clippy::cast_precision_loss, reason = "counts are small")]
 async fn measure_connections(deployment: &Deployment) -> Result<()> {
-    let address = deployment.callers(NODE)?;
+    let address = deployment.caller_address(NODE)?;
     let before = usage(deployment).await?;
     let mut held = Vec::new();
     for _ in 0..IDLE_CONNECTIONS {
@@ -181,7 +181,7 @@
 
 #[expect(clippy::cast_precision_loss, reason = "counts are small")]
 async fn measure_open_streams(deployment: &Deployment) -> Result<()> {
-    let address = deployment.callers(NODE)?;
+    let address = deployment.caller_address(NODE)?;
     let before = usage(deployment).await?;
     let mut held = Vec::new();
     for number in 0..OPEN_STREAMS {
--- a/node/tests/chain/mod.rs
+++ b/node/tests/chain/mod.rs
@@ -354,7 +354,7 @@
 
 /// Returns the configuration of the tests.
 pub fn configuration() -> Configuration {
-    let small = dottereltally_testutils::deployment::hash(SMALL_KEY);
+    let small = dottereltally_testutils::deployment::hash_bearer_key(SMALL_KEY);
     let text = TEXT.replace("sha256:SMALL", &small);
     text.parse().expect("a valid configuration")
 }
--- a/node/tests/test_crash.rs
+++ b/node/tests/test_crash.rs
@@ -27,7 +27,7 @@
     for number in 1..=ENGINES {
         let name = format!("tally-{number}");
         let fault = json!({"crash_marker": MARKER});
-        deployment.switch(&name, &fault).await?;
+        deployment.set_controls(&name, &fault).await?;
     }
     Ok(deployment)
 }
@@ -36,7 +36,7 @@
     let mut crashed = 0;
     for number in 1..=ENGINES {
         let name = format!("tally-{number}");
-        crashed += usize::from(!deployment.endpoint(&name)?.is_running());
+        crashed += usize::from(!deployment.endpoint_process(&name)?.is_running());
     }
     Ok(crashed)
 }
--- a/node/tests/test_dispatch.rs
+++ b/node/tests/test_dispatch.rs
@@ -34,7 +34,7 @@
     let deployment = Fixture::single().start().await?;
     for name in ["tally-1", "tally-2"] {
         let fault = json!({"die": point, "die_next": 1});
-        deployment.switch(name, &fault).await?;
+        deployment.set_controls(name, &fault).await?;
     }
     let answer = deployment.chat("entry-1", "unlucky", 8)?.text().await;
     match answer {
@@ -53,11 +53,13 @@
 async fn the_engine_is_killed_while_the_request_runs() -> Result<()> {
     let mut deployment = Fixture::single().start().await?;
     for name in ["tally-1", "tally-2"] {
-        deployment.switch(name, &json!({"hold": true})).await?;
+        deployment
+            .set_controls(name, &json!({"hold": true}))
+            .await?;
     }
     let call = tokio::spawn(deployment.chat("entry-1", "unlucky", 8)?.text());
     let name = running_engine(&deployment).await?;
-    deployment.endpoint(&name)?.kill().await?;
+    deployment.endpoint_process(&name)?.kill().await?;
     let answer = call.await??;
     assert_eq!(answer.run(), "may-have-run", "{}", answer.text);
     deployment.restart_endpoint(&name).await?;
@@ -83,7 +85,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_connection_is_refused() -> Result<()> {
     let deployment = Fixture::single().start().await?;
-    deployment.switch("tally-1", &json!({"down": true})).await?;
+    deployment
+        .set_controls("tally-1", &json!({"down": true}))
+        .await?;
     for number in 0..REQUESTS {
         let prompt = format!("request {number}");
         let answer = deployment.chat("entry-1", &prompt, 4)?.text().await?;
@@ -113,9 +117,11 @@
             assert_eq!(count_received(&deployment, &prompt).await?, 0);
         }
         assert!(count_received(&deployment, &prompt).await? <= 1);
-        deployment.switch("tally-1", &json!({"down": true})).await?;
         deployment
-            .switch("tally-1", &json!({"down": false}))
+            .set_controls("tally-1", &json!({"down": true}))
+            .await?;
+        deployment
+            .set_controls("tally-1", &json!({"down": false}))
             .await?;
     }
     Ok(())
--- a/node/tests/test_exclusive.rs
+++ b/node/tests/test_exclusive.rs
@@ -68,7 +68,7 @@
 }
 
 async fn switch(deployment: &Deployment, name: &str, change: Value) -> Result<()> {
-    deployment.switch(name, &change).await
+    deployment.set_controls(name, &change).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -151,7 +151,9 @@
     switch(&deployment, "kv", json!({"hold_after": true})).await?;
     let first = start_payment(&deployment, "entry-1")?;
     wait_for_stored_claim(&deployment, before).await?;
-    deployment.node("entry-1")?.signal(Signal::SIGSTOP)?;
+    deployment
+        .node_process("entry-1")?
+        .signal(Signal::SIGSTOP)?;
     switch(&deployment, "kv", json!({"hold_after": false})).await?;
     let mut refused = Vec::new();
     for _ in 0..3 {
@@ -160,7 +162,9 @@
             refused.push(answer.run());
         }
     }
-    deployment.node("entry-1")?.signal(Signal::SIGCONT)?;
+    deployment
+        .node_process("entry-1")?
+        .signal(Signal::SIGCONT)?;
     let first = first.await??;
     let runs = deployment.payments(KEY).await?;
     assert!(runs <= 1, "ran {runs} times");
@@ -183,10 +187,14 @@
     switch(&deployment, "ledger-1", json!({"hold": true})).await?;
     let first = start_payment(&deployment, "entry-1")?;
     deployment.reaches("ledger-1", "running", 1).await?;
-    deployment.node("entry-1")?.signal(Signal::SIGSTOP)?;
+    deployment
+        .node_process("entry-1")?
+        .signal(Signal::SIGSTOP)?;
     switch(&deployment, "ledger-1", json!({"hold": false})).await?;
     expect_may_have_run(&deployment, "entry-2").await?;
-    deployment.node("entry-1")?.signal(Signal::SIGCONT)?;
+    deployment
+        .node_process("entry-1")?
+        .signal(Signal::SIGCONT)?;
     let first = first.await??;
     assert_eq!(first.status, StatusCode::OK, "{}", first.text);
     let second = pay_until_success(&deployment, "entry-2").await?;
--- a/node/tests/test_generations.rs
+++ b/node/tests/test_generations.rs
@@ -43,7 +43,7 @@
     let deployment = fixture.start().await?;
     for generation in 2..=5 {
         let path = format!("/releases-{generation}");
-        deployment.apply_text(&with_path(&path)).await?;
+        deployment.apply_configuration(&with_path(&path)).await?;
         deployment.settled(generation).await?;
         for node in deployment.node_names() {
             assert_in_force(&deployment, &node, &path).await?;
@@ -60,8 +60,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn reaches_nodes_whose_watch_is_silent(#[case] fault: Value) -> Result<()> {
     let deployment = Fixture::default().start().await?;
-    deployment.switch("kv", &fault).await?;
-    deployment.apply_text(&with_path("/releases")).await?;
+    deployment.set_controls("kv", &fault).await?;
+    deployment
+        .apply_configuration(&with_path("/releases"))
+        .await?;
     deployment.settled(2).await?;
     for node in ["entry-1", "entry-2"] {
         assert_in_force(&deployment, node, "/releases").await?;
@@ -73,10 +75,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn stale_reads_do_not_revert_it() -> Result<()> {
     let mut deployment = Fixture::default().start().await?;
-    deployment.apply_text(&with_path("/releases")).await?;
+    deployment
+        .apply_configuration(&with_path("/releases"))
+        .await?;
     deployment.settled(2).await?;
     let stale = json!({"stale_by": 1, "watch_silent": true});
-    deployment.switch("kv", &stale).await?;
+    deployment.set_controls("kv", &stale).await?;
     deployment.add_node("entry-3", "plovdiv").await?;
     let before = read_count(&deployment).await?;
     eventually("the nodes read an older generation", async || {
@@ -92,8 +96,8 @@
         assert_in_force(&deployment, &node, "/releases").await?;
     }
     let fresh = json!({"stale_by": 0, "watch_silent": false});
-    deployment.switch("kv", &fresh).await?;
-    deployment.apply_text(&with_path("/bales")).await?;
+    deployment.set_controls("kv", &fresh).await?;
+    deployment.apply_configuration(&with_path("/bales")).await?;
     deployment.settled(3).await?;
     for node in deployment.node_names() {
         assert_in_force(&deployment, &node, "/bales").await?;
@@ -112,14 +116,22 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn comes_from_a_peer_after_a_pause() -> Result<()> {
     let mut deployment = Fixture::default().start().await?;
-    deployment.node("entry-2")?.signal(Signal::SIGSTOP)?;
     deployment
-        .switch("kv", &json!({"watch_silent": true}))
+        .node_process("entry-2")?
+        .signal(Signal::SIGSTOP)?;
+    deployment
+        .set_controls("kv", &json!({"watch_silent": true}))
+        .await?;
+    deployment
+        .apply_configuration(&with_path("/releases"))
         .await?;
-    deployment.apply_text(&with_path("/releases")).await?;
     wait_for_generation(&deployment, "entry-1", 2).await?;
-    deployment.switch("kv", &json!({"down": true})).await?;
-    deployment.node("entry-2")?.signal(Signal::SIGCONT)?;
+    deployment
+        .set_controls("kv", &json!({"down": true}))
+        .await?;
+    deployment
+        .node_process("entry-2")?
+        .signal(Signal::SIGCONT)?;
     wait_for_generation(&deployment, "entry-2", 2).await
 }
 
@@ -136,9 +148,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn comes_from_a_peer_during_an_outage() -> Result<()> {
     let mut deployment = Fixture::default().start().await?;
-    deployment.apply_text(&with_path("/releases")).await?;
+    deployment
+        .apply_configuration(&with_path("/releases"))
+        .await?;
     deployment.settled(2).await?;
-    deployment.switch("kv", &json!({"down": true})).await?;
+    deployment
+        .set_controls("kv", &json!({"down": true}))
+        .await?;
     deployment.add_node("entry-3", "plovdiv").await?;
     deployment.settled(2).await?;
     for node in ["entry-1", "entry-2", "entry-3"] {
@@ -154,8 +170,10 @@
 async fn an_invalid_text_is_not_accepted() -> Result<()> {
     let deployment = Fixture::default().start().await?;
     let invalid = text().replace("service: yard-app", "service: no-app");
-    assert!(deployment.apply_text(&invalid).await.is_err());
-    deployment.apply_text(&with_path("/releases")).await?;
+    assert!(deployment.apply_configuration(&invalid).await.is_err());
+    deployment
+        .apply_configuration(&with_path("/releases"))
+        .await?;
     deployment.settled(2).await?;
     eventually("generation 2 is in force", async || {
         (generation(&deployment, "entry-1").await.ok()? == 2).then_some(())
--- a/node/tests/test_leaving.rs
+++ b/node/tests/test_leaving.rs
@@ -52,7 +52,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn marked_as_leaving_by_the_host_list() -> Result<()> {
     let mut deployment = Fixture::default().start().await?;
-    deployment.leave("tally-1").await?;
+    deployment.mark_leaving("tally-1").await?;
     assert_unused(&deployment, "tally-1").await
 }
 
@@ -60,7 +60,7 @@
 async fn reported_as_leaving_by_the_endpoint() -> Result<()> {
     let deployment = Fixture::default().start().await?;
     deployment
-        .switch("tally-1", &json!({"leaving": true}))
+        .set_controls("tally-1", &json!({"leaving": true}))
         .await?;
     assert_unused(&deployment, "tally-1").await
 }
@@ -72,10 +72,12 @@
         ..Fixture::default()
     };
     let mut deployment = fixture.start().await?;
-    deployment.switch("tally-1", &json!({"hold": true})).await?;
+    deployment
+        .set_controls("tally-1", &json!({"hold": true}))
+        .await?;
     let running = tokio::spawn(deployment.chat("entry-1", "long", 200)?.text());
     deployment.reaches("tally-1", "started", 1).await?;
-    deployment.leave("tally-1").await?;
+    deployment.mark_leaving("tally-1").await?;
     let late = deployment.chat("entry-1", "late", 2)?;
     let late = eventually("new requests are refused", async || {
         let answer = late.clone().header("dottereltally-deadline", "1s");
@@ -85,7 +87,7 @@
     .await?;
     assert_eq!(late.status, StatusCode::SERVICE_UNAVAILABLE);
     deployment
-        .switch("tally-1", &json!({"hold": false}))
+        .set_controls("tally-1", &json!({"hold": false}))
         .await?;
     let answer = running.await??;
     assert!(answer.is_done(), "{}", answer.text);
--- a/node/tests/test_not_run.rs
+++ b/node/tests/test_not_run.rs
@@ -99,7 +99,7 @@
     #[case] reason: &str,
 ) -> Result<()> {
     let deployment = Fixture::single().start().await?;
-    let call = rejection.request(&deployment.callers("entry-1")?);
+    let call = rejection.request(&deployment.caller_address("entry-1")?);
     let answer = call.text().await?;
     assert_refused(&answer, status, reason);
     assert_eq!(count_received(&deployment).await?, 0);
@@ -109,7 +109,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn refuses_a_model_that_no_engine_has() -> Result<()> {
     let deployment = Fixture::single().start().await?;
-    let call = Rejection::UnknownModel.request(&deployment.callers("entry-1")?);
+    let call = Rejection::UnknownModel.request(&deployment.caller_address("entry-1")?);
     let answer = call.text().await?;
     assert!(!answer.status.is_success(), "{}", answer.text);
     assert_eq!(answer.run(), "not-run", "{}", answer.text);
@@ -121,7 +121,9 @@
 async fn refuses_a_workspace_over_its_limit() -> Result<()> {
     let deployment = Fixture::single().start().await?;
     for name in ["tally-1", "tally-2"] {
-        deployment.switch(name, &json!({"hold": true})).await?;
+        deployment
+            .set_controls(name, &json!({"hold": true}))
+            .await?;
     }
     let first = deployment.chat("entry-1", "first", 4)?.key(SMALL_KEY);
     let first = tokio::spawn(first.text());
@@ -133,7 +135,9 @@
     assert_refused(&second.text().await?, 429, "limit");
     assert_eq!(count_received(&deployment).await?, 1);
     for name in ["tally-1", "tally-2"] {
-        deployment.switch(name, &json!({"hold": false})).await?;
+        deployment
+            .set_controls(name, &json!({"hold": false}))
+            .await?;
     }
     assert_eq!(first.await??.status, StatusCode::OK);
     Ok(())
@@ -144,7 +148,9 @@
 async fn refuses_when_no_endpoint_accepts_connections() -> Result<()> {
     let deployment = Fixture::single().start().await?;
     for name in ["tally-1", "tally-2"] {
-        deployment.switch(name, &json!({"down": true})).await?;
+        deployment
+            .set_controls(name, &json!({"down": true}))
+            .await?;
     }
     let call = deployment.chat("entry-1", "hello", 4)?;
     let answer = call.header("dottereltally-deadline", "2s").text().await?;
@@ -163,7 +169,9 @@
         ..Fixture::single()
     };
     let deployment = fixture.start().await?;
-    deployment.switch("tally-1", &json!({"hold": true})).await?;
+    deployment
+        .set_controls("tally-1", &json!({"hold": true}))
+        .await?;
     let mut filling = Vec::new();
     for number in 0..6 {
         let call = deployment.chat("entry-1", &long_prompt("first", number), 4)?;
@@ -187,7 +195,7 @@
         assert!(!seen.contains(&digest), "late {number} was dispatched");
     }
     deployment
-        .switch("tally-1", &json!({"hold": false}))
+        .set_controls("tally-1", &json!({"hold": false}))
         .await?;
     for call in filling {
         assert!(call.await??.is_done());
--- a/node/tests/test_outage.rs
+++ b/node/tests/test_outage.rs
@@ -33,7 +33,7 @@
     /// Sets fault switches of each unavailable part.
     async fn set(self, deployment: &Deployment, change: &Value) -> Result<()> {
         for name in self.names() {
-            deployment.switch(name, change).await?;
+            deployment.set_controls(name, change).await?;
         }
         Ok(())
     }
@@ -119,7 +119,9 @@
     };
     let mut deployment = fixture.start().await?;
     for name in ["tally-1", "tally-2"] {
-        deployment.switch(name, &json!({"hold": true})).await?;
+        deployment
+            .set_controls(name, &json!({"hold": true}))
+            .await?;
     }
     let running = tokio::spawn(deployment.chat("entry-1", "long", 50)?.text());
     eventually("the stream runs", async || {
@@ -132,12 +134,16 @@
     })
     .await?;
     Outage::Both.set(&deployment, &fault).await?;
-    deployment.node("entry-1")?.signal(Signal::SIGTERM)?;
+    deployment
+        .node_process("entry-1")?
+        .signal(Signal::SIGTERM)?;
     for name in ["tally-1", "tally-2"] {
-        deployment.switch(name, &json!({"hold": false})).await?;
+        deployment
+            .set_controls(name, &json!({"hold": false}))
+            .await?;
     }
     assert!(running.await??.is_done());
-    let status = deployment.node("entry-1")?.wait().await?;
+    let status = deployment.node_process("entry-1")?.wait().await?;
     assert!(status.success(), "{status}");
     Ok(())
 }
--- a/node/tests/test_path.rs
+++ b/node/tests/test_path.rs
@@ -69,7 +69,7 @@
     };
     let deployment = fixture.start().await?;
     let slow = json!({"decode_ms": 20.0});
-    deployment.switch("tally-1", &slow).await?;
+    deployment.set_controls("tally-1", &slow).await?;
     let call = deployment.chat("entry-1", "hello", 1_000)?;
     let mut answer = call.send().await?;
     assert!(answer.piece().await?.is_some());
--- a/node/tests/test_platform.rs
+++ b/node/tests/test_platform.rs
@@ -19,7 +19,7 @@
     layout,
 };
 use dottereltally_testutils::{
-    client::switch,
+    client::set_controls,
     kv::Kv,
     server::{self, Addresses},
     wait::eventually,
@@ -68,7 +68,7 @@
 
     /// Sets fault switches of the key-value service.
     async fn set(&self, change: serde_json::Value) -> Result<()> {
-        switch(&self.kv.control.to_string(), &change).await
+        set_controls(&self.kv.control.to_string(), &change).await
     }
 }
 
--- a/node/tests/test_random.rs
+++ b/node/tests/test_random.rs
@@ -72,7 +72,7 @@
     fn update_addresses(&self, deployment: &Deployment) -> Result<()> {
         let mut addresses = Vec::new();
         for node in NODES {
-            addresses.push(deployment.callers(node)?);
+            addresses.push(deployment.caller_address(node)?);
         }
         *self.node_addresses.write().expect("unpoisoned") = addresses;
         Ok(())
@@ -177,9 +177,9 @@
             shared.update_addresses(deployment)
         }
         2 | 3 => {
-            deployment.node(node)?.signal(Signal::SIGSTOP)?;
+            deployment.node_process(node)?.signal(Signal::SIGSTOP)?;
             sleep(duration).await;
-            deployment.node(node)?.signal(Signal::SIGCONT)
+            deployment.node_process(node)?.signal(Signal::SIGCONT)
         }
         4 => inject(deployment, "kv", json!({"down": true}), duration).await,
         5 => inject(deployment, "kv", json!({"lose_answers": 3}), duration).await,
@@ -216,9 +216,9 @@
     fault: Value,
     duration: Duration,
 ) -> Result<()> {
-    deployment.switch(name, &fault).await?;
+    deployment.set_controls(name, &fault).await?;
     sleep(duration).await;
-    deployment.switch(name, &cleared_switches(name)).await
+    deployment.set_controls(name, &cleared_switches(name)).await
 }
 
 /// Returns the switches of a stand-in, all set to no fault.
@@ -250,7 +250,7 @@
     let mut deployment = fixture.start().await?;
     let shared = Shared {
         node_addresses: Arc::default(),
-        ledger_control: deployment.endpoint("ledger-1")?.address("control"),
+        ledger_control: deployment.endpoint_process("ledger-1")?.address("control"),
         over: Arc::default(),
     };
     shared.update_addresses(&deployment)?;
--- a/node/tests/test_shutdown.rs
+++ b/node/tests/test_shutdown.rs
@@ -25,7 +25,7 @@
     let deployment = fixture.start().await?;
     for name in ["tally-1", "tally-2"] {
         let slow = json!({"decode_ms": DECODE_MS});
-        deployment.switch(name, &slow).await?;
+        deployment.set_controls(name, &slow).await?;
     }
     Ok(deployment)
 }
@@ -61,14 +61,14 @@
             (running >= STREAM_COUNT as u64).then_some(())
         })
         .await?;
-        deployment.node(node)?.signal(Signal::SIGTERM)?;
+        deployment.node_process(node)?.signal(Signal::SIGTERM)?;
         for (prompt, call) in calls {
             let answer = call.await??;
             assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
             assert!(answer.is_done(), "{node}: {prompt} was cut");
             assert_eq!(answer.content(), format::text(&prompt, TOKENS_PER_STREAM));
         }
-        let status = deployment.node(node)?.wait().await?;
+        let status = deployment.node_process(node)?.wait().await?;
         assert!(status.success(), "{node} ended with {status}");
     }
     Ok(())
@@ -80,8 +80,10 @@
 async fn serves_during_the_notice_time() -> Result<()> {
     let mut deployment = start().await?;
     let running = start_stream(&deployment, "entry-1", "long").await?;
-    deployment.node("entry-1")?.signal(Signal::SIGTERM)?;
-    let operations = deployment.operations("entry-1")?;
+    deployment
+        .node_process("entry-1")?
+        .signal(Signal::SIGTERM)?;
+    let operations = deployment.operations_address("entry-1")?;
     eventually("the node is not ready", async || {
         let call = dottereltally_testutils::client::Call::new(&operations, Method::GET, "/readyz");
         let answer = call.text().await.ok()?;
@@ -96,7 +98,7 @@
         }
     }
     assert!(running.whole().await?.is_done());
-    let status = deployment.node("entry-1")?.wait().await?;
+    let status = deployment.node_process("entry-1")?.wait().await?;
     assert!(status.success(), "{status}");
     Ok(())
 }
@@ -107,12 +109,14 @@
 async fn finishes_payments_after_sigterm() -> Result<()> {
     let mut deployment = start().await?;
     deployment
-        .switch("ledger-1", &json!({"hold": true}))
+        .set_controls("ledger-1", &json!({"hold": true}))
         .await?;
     let payment = tokio::spawn(deployment.pay("entry-1", "release-1")?.text());
     deployment.reaches("ledger-1", "running", 1).await?;
-    deployment.node("entry-1")?.signal(Signal::SIGTERM)?;
-    let operations = deployment.operations("entry-1")?;
+    deployment
+        .node_process("entry-1")?
+        .signal(Signal::SIGTERM)?;
+    let operations = deployment.operations_address("entry-1")?;
     eventually("the node is not ready", async || {
         let call = dottereltally_testutils::client::Call::new(&operations, Method::GET, "/readyz");
         let answer = call.text().await.ok()?;
@@ -120,11 +124,11 @@
     })
     .await?;
     deployment
-        .switch("ledger-1", &json!({"hold": false}))
+        .set_controls("ledger-1", &json!({"hold": false}))
         .await?;
     let answer = payment.await??;
     assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
-    let status = deployment.node("entry-1")?.wait().await?;
+    let status = deployment.node_process("entry-1")?.wait().await?;
     assert!(status.success(), "{status}");
     let again = deployment.pay("entry-2", "release-1")?.text().await?;
     if !again.status.is_success() {
--- a/node/tests/test_silence.rs
+++ b/node/tests/test_silence.rs
@@ -31,11 +31,11 @@
 async fn a_silent_stream_is_reported_as_cut() -> Result<()> {
     let deployment = start(1).await?;
     let slow = json!({"decode_ms": 20.0});
-    deployment.switch("tally-1", &slow).await?;
+    deployment.set_controls("tally-1", &slow).await?;
     let mut answer = deployment.chat("entry-1", "long", 1_000)?.send().await?;
     answer.piece().await?;
     let silent = json!({"silent": "existing", "decode_ms": 2.0});
-    deployment.switch("tally-1", &silent).await?;
+    deployment.set_controls("tally-1", &silent).await?;
     let mut text = String::new();
     while let Ok(Some(piece)) = answer.piece().await {
         text.push_str(&piece);
@@ -62,7 +62,7 @@
         chat(&deployment, &format!("before {number}")).await?;
     }
     deployment
-        .switch("tally-1", &json!({"silent": "existing"}))
+        .set_controls("tally-1", &json!({"silent": "existing"}))
         .await?;
     let mut served = 0;
     for number in 0..REQUEST_COUNT {
@@ -87,7 +87,7 @@
 async fn a_silent_endpoint_is_avoided() -> Result<()> {
     let deployment = start(2).await?;
     deployment
-        .switch("tally-1", &json!({"silent": "all"}))
+        .set_controls("tally-1", &json!({"silent": "all"}))
         .await?;
     eventually("requests avoid the silent endpoint", async || {
         for number in 0..REQUEST_COUNT {
@@ -110,12 +110,12 @@
 async fn a_payment_on_a_silent_connection_is_not_sent_again(#[case] silence: &str) -> Result<()> {
     let deployment = start(1).await?;
     deployment
-        .switch("ledger-1", &json!({"hold": true}))
+        .set_controls("ledger-1", &json!({"hold": true}))
         .await?;
     let first = tokio::spawn(deployment.pay("entry-1", "release-1")?.text());
     deployment.reaches("ledger-1", "running", 1).await?;
     let silent = json!({"silent": silence, "hold": false});
-    deployment.switch("ledger-1", &silent).await?;
+    deployment.set_controls("ledger-1", &silent).await?;
     let first = first.await??;
     assert_eq!(first.run(), "may-have-run", "{}", first.text);
     let second = deployment.pay("entry-2", "release-1")?.text().await?;
--- a/node/tests/test_tiers.rs
+++ b/node/tests/test_tiers.rs
@@ -55,7 +55,7 @@
     };
     let deployment = fixture.start().await?;
     let rate = json!({"prefill_rate": PREFILL_TOKENS_PER_SECOND});
-    deployment.switch("tally-1", &rate).await?;
+    deployment.set_controls("tally-1", &rate).await?;
     let routine_calls = send(&deployment, "entry-1", "tag", ROUTINE_COUNT)?;
     deployment.reaches("tally-1", "received", 5).await?;
     let urgent_calls = send(&deployment, urgent_node, "gate", URGENT_COUNT)?;
--- a/node/tests/test_whole.rs
+++ b/node/tests/test_whole.rs
@@ -25,7 +25,7 @@
 async fn a_stream_that_ends_early_is_reported_as_cut() -> Result<()> {
     let deployment = single_engine().await?;
     deployment
-        .switch("tally-1", &json!({"cut_next": 1}))
+        .set_controls("tally-1", &json!({"cut_next": 1}))
         .await?;
     let mut answer = deployment.chat("entry-1", "hello", 8)?.send().await?;
     let mut text = String::new();
@@ -45,7 +45,7 @@
 async fn an_incomplete_document_is_not_passed_on() -> Result<()> {
     let deployment = single_engine().await?;
     let fault = json!({"die": "after", "die_next": 1});
-    deployment.switch("tally-1", &fault).await?;
+    deployment.set_controls("tally-1", &fault).await?;
     let mut body = chat_body("hello", 8);
     body["stream"] = json!(false);
     let call = deployment.call("entry-1", Method::POST, "/v1/chat/completions")?;
@@ -59,7 +59,7 @@
 async fn an_answer_to_another_request_is_discarded() -> Result<()> {
     let deployment = single_engine().await?;
     deployment
-        .switch("tally-1", &json!({"wrong_echo": true}))
+        .set_controls("tally-1", &json!({"wrong_echo": true}))
         .await?;
     let answer = deployment.chat("entry-1", "hello", 8)?.text().await?;
     assert_eq!(answer.status, StatusCode::BAD_GATEWAY, "{}", answer.text);
--- a/store/tests/test_etcd.rs
+++ b/store/tests/test_etcd.rs
@@ -7,7 +7,7 @@
     kv::{Change, Compare, Error, Lease, Operation, Revision, Store as _, Transaction, Watch as _},
 };
 use dottereltally_testutils::{
-    client::switch,
+    client::set_controls,
     kv::Kv,
     server::{self, Addresses},
 };
@@ -27,7 +27,7 @@
 }
 
 async fn set_switches(kv: &Addresses, change: serde_json::Value) -> Result<()> {
-    switch(&kv.control.to_string(), &change).await
+    set_controls(&kv.control.to_string(), &change).await
 }
 
 fn store(kv: &Addresses) -> Store {
--- a/testutils/examples/demo.rs
+++ b/testutils/examples/demo.rs
@@ -59,7 +59,7 @@
     ] {
         deployment.add_node(name, data_centre).await?;
     }
-    let generation = deployment.apply_text(CONFIGURATION).await?;
+    let generation = deployment.apply_configuration(CONFIGURATION).await?;
     deployment.settled(generation).await?;
     println!("3 nodes in 2 data centres use configuration generation {generation}");
     Ok(deployment)
@@ -127,12 +127,15 @@
 }
 
 fn call(deployment: &Deployment, node: &str, method: Method, path: &str) -> Result<Call> {
-    Ok(Call::new(&deployment.callers(node)?, method, path).key(KEY))
+    Ok(Call::new(&deployment.caller_address(node)?, method, path).key(KEY))
 }
 
 fn print_addresses(deployment: &Deployment) -> Result<()> {
     for node in ["entry-1", "entry-2", "entry-3"] {
-        let (callers, operations) = (deployment.callers(node)?, deployment.operations(node)?);
+        let (callers, operations) = (
+            deployment.caller_address(node)?,
+            deployment.operations_address(node)?,
+        );
         println!("{node}: callers http://{callers}, operations http://{operations}");
     }
     let (kv, hosts) = (deployment.kv_address(), deployment.hosts_url());
--- a/testutils/src/client.rs
+++ b/testutils/src/client.rs
@@ -273,7 +273,7 @@
 /// # Errors
 ///
 /// Fails if the stand-in does not respond or rejects them.
-pub async fn switch(address: &str, change: &Value) -> Result<()> {
+pub async fn set_controls(address: &str, change: &Value) -> Result<()> {
     let call = Call::new(address, Method::PUT, "/control").json(change);
     let response = call.text().await?;
     if response.status != StatusCode::OK {
--- a/testutils/src/deployment.rs
+++ b/testutils/src/deployment.rs
@@ -98,7 +98,7 @@
     ) -> Result<()> {
         self.add_endpoint("engine", name, service, data_centre)
             .await?;
-        self.switch(name, &json!({"models": models})).await
+        self.set_controls(name, &json!({"models": models})).await
     }
 
     /// Starts a plain service and adds it to the host list.
@@ -199,7 +199,7 @@
     ///
     /// Fails if it is unknown.
     pub async fn kill_node(&mut self, name: &str) -> Result<()> {
-        self.node(name)?.kill().await
+        self.node_process(name)?.kill().await
     }
 
     /// Marks an entry host or endpoint as leaving in the host list.
@@ -207,7 +207,7 @@
     /// # Errors
     ///
     /// Fails if it is unknown.
-    pub async fn leave(&mut self, name: &str) -> Result<()> {
+    pub async fn mark_leaving(&mut self, name: &str) -> Result<()> {
         if let Some(node) = self.nodes.get_mut(name) {
             node.leaving = true;
         } else {
@@ -253,7 +253,7 @@
                 }}),
             );
         }
-        client::switch(&self.hosts.address("control"), &json!({"groups": groups})).await
+        client::set_controls(&self.hosts.address("control"), &json!({"groups": groups})).await
     }
 
     /// Applies an operators' configuration with `dottereltallyctl`; returns its
@@ -262,7 +262,7 @@
     /// # Errors
     ///
     /// Fails if `dottereltallyctl` rejects it.
-    pub async fn apply_text(&self, yaml: &str) -> Result<u64> {
+    pub async fn apply_configuration(&self, yaml: &str) -> Result<u64> {
         let file = self.directory.path().join("text.yaml");
         fs::write(&file, yaml)?;
         let (kv, hosts) = (self.kv_address(), self.hosts_url());
@@ -301,7 +301,7 @@
     }
 
     async fn is_ready(&self, name: &str) -> Option<()> {
-        let address = self.operations(name).ok()?;
+        let address = self.operations_address(name).ok()?;
         let response = Call::new(&address, Method::GET, "/readyz").text().await;
         response.ok()?.status.is_success().then_some(())
     }
@@ -312,7 +312,7 @@
     ///
     /// Fails if the node is unknown or does not respond.
     pub async fn status(&self, name: &str) -> Result<Value> {
-        let call = Call::new(&self.operations(name)?, Method::GET, "/status");
+        let call = Call::new(&self.operations_address(name)?, Method::GET, "/status");
         Ok(call.text().await?.json())
     }
 
@@ -321,8 +321,8 @@
     /// # Errors
     ///
     /// Fails if the stand-in is unknown or rejects them.
-    pub async fn switch(&self, name: &str, change: &Value) -> Result<()> {
-        client::switch(&self.control_address(name)?, change).await
+    pub async fn set_controls(&self, name: &str, change: &Value) -> Result<()> {
+        client::set_controls(&self.control_address(name)?, change).await
     }
 
     /// Returns the counters of the stand-in `kv`, `hosts` or an endpoint.
@@ -367,7 +367,7 @@
     /// # Errors
     ///
     /// Fails if it is unknown.
-    pub fn node(&mut self, name: &str) -> Result<&mut Process> {
+    pub fn node_process(&mut self, name: &str) -> Result<&mut Process> {
         let node = self.nodes.get_mut(name).ok_or_else(|| unknown_name(name))?;
         Ok(&mut node.process)
     }
@@ -377,7 +377,7 @@
     /// # Errors
     ///
     /// Fails if it is unknown.
-    pub fn endpoint(&mut self, name: &str) -> Result<&mut Process> {
+    pub fn endpoint_process(&mut self, name: &str) -> Result<&mut Process> {
         let endpoint = self
             .endpoints
             .get_mut(name)
@@ -390,7 +390,7 @@
     /// # Errors
     ///
     /// Fails if it is unknown.
-    pub fn callers(&self, name: &str) -> Result<String> {
+    pub fn caller_address(&self, name: &str) -> Result<String> {
         let node = self.nodes.get(name).ok_or_else(|| unknown_name(name))?;
         Ok(node.process.address("callers"))
     }
@@ -400,7 +400,7 @@
     /// # Errors
     ///
     /// Fails if it is unknown.
-    pub fn operations(&self, name: &str) -> Result<String> {
+    pub fn operations_address(&self, name: &str) -> Result<String> {
         let node = self.nodes.get(name).ok_or_else(|| unknown_name(name))?;
         Ok(node.process.address("operations"))
     }
@@ -438,7 +438,7 @@
 
 /// Returns the hash by which the operators' configuration lists a bearer key.
 #[must_use]
-pub fn hash(key: &str) -> String {
+pub fn hash_bearer_key(key: &str) -> String {
     format!("sha256:{:x}", Sha256::digest(key.as_bytes()))
 }
 
--- a/testutils/src/fixture.rs
+++ b/testutils/src/fixture.rs
@@ -52,7 +52,10 @@
 /// Returns the operators' configuration of the fixture, in YAML.
 #[must_use]
 pub fn text() -> String {
-    let (key, small) = (deployment::hash(KEY), deployment::hash(SMALL_KEY));
+    let (key, small) = (
+        deployment::hash_bearer_key(KEY),
+        deployment::hash_bearer_key(SMALL_KEY),
+    );
     format!(
         "tiers: [gate, dispute, summary, tag]
 services:
@@ -112,7 +115,7 @@
             let name = format!("entry-{number}");
             deployment.add_node(&name, data_centre).await?;
         }
-        deployment.apply_text(&text()).await?;
+        deployment.apply_configuration(&text()).await?;
         deployment.settled(1).await?;
         Ok(deployment)
     }
@@ -152,7 +155,7 @@
     ///
     /// Fails if the node is unknown.
     pub fn call(&self, node: &str, method: Method, path: &str) -> Result<Call> {
-        Ok(Call::new(&self.callers(node)?, method, path).key(KEY))
+        Ok(Call::new(&self.caller_address(node)?, method, path).key(KEY))
     }
 
     /// Prepares a request for a streamed chat completion.
--- a/testutils/tests/test_engine.rs
+++ b/testutils/tests/test_engine.rs
@@ -1,7 +1,7 @@
 //! Tests of the stand-in for a model engine.
 
 use dottereltally_testutils::{
-    client::{Call, control, switch},
+    client::{self, Call, control},
     engine::{Engine, format},
     server::{self, Addresses},
     wait::eventually,
@@ -33,7 +33,7 @@
 }
 
 async fn set_controls(engine: &Addresses, change: &Value) -> Result<()> {
-    switch(&engine.control.to_string(), change).await
+    client::set_controls(&engine.control.to_string(), change).await
 }
 
 #[rstest]
--- a/testutils/tests/test_kv.rs
+++ b/testutils/tests/test_kv.rs
@@ -3,7 +3,7 @@
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 use dottereltally_testutils::{
-    client::{Call, switch},
+    client::{Call, set_controls},
     kv::Kv,
     server::{self, Addresses},
     wait::eventually,
@@ -119,11 +119,11 @@
 async fn lost_responses_take_effect_and_lost_requests_do_not() -> Result<()> {
     let kv = start().await?;
     let control = kv.control.to_string();
-    switch(&control, &json!({"lose_answers": 1})).await?;
+    set_controls(&control, &json!({"lose_answers": 1})).await?;
     let response = call(&kv, "/v3/kv/txn", &create("a", "1")).await;
     assert!(response.is_err());
     assert_eq!(read(&kv, "a").await?["count"], "1");
-    switch(&control, &json!({"lose_requests": 1})).await?;
+    set_controls(&control, &json!({"lose_requests": 1})).await?;
     let response = call(&kv, "/v3/kv/txn", &create("b", "1")).await;
     assert!(response.is_err());
     assert_eq!(read(&kv, "b").await?["count"], Value::Null);
@@ -158,12 +158,12 @@
 async fn refuses_connections_only_while_down() -> Result<()> {
     let kv = start().await?;
     let control = kv.control.to_string();
-    switch(&control, &json!({"down": true})).await?;
+    set_controls(&control, &json!({"down": true})).await?;
     eventually("connections are refused", async || {
         read(&kv, "a").await.is_err().then_some(())
     })
     .await?;
-    switch(&control, &json!({"down": false})).await?;
+    set_controls(&control, &json!({"down": false})).await?;
     eventually("the service accepts connections again", async || {
         read(&kv, "a").await.ok()
     })
--- a/testutils/tests/test_plain.rs
+++ b/testutils/tests/test_plain.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use dottereltally_testutils::{
-    client::{Call, control, switch},
+    client::{Call, control, set_controls},
     host_list::HostList,
     ledger::Ledger,
     server::{self, Addresses},
@@ -35,7 +35,7 @@
 #[tokio::test]
 async fn counts_executed_requests(#[case] die: &str, #[case] executions: u64) -> Result<()> {
     let ledger = start_ledger().await?;
-    switch(&ledger.control.to_string(), &json!({"die": die})).await?;
+    set_controls(&ledger.control.to_string(), &json!({"die": die})).await?;
     let response = pay(&ledger).text().await;
     assert_eq!(response.is_ok(), die == "none");
     let counts = counts(&ledger).await?;
@@ -52,13 +52,13 @@
 async fn holds_back_responses_of_executed_requests() -> Result<()> {
     let ledger = start_ledger().await?;
     let control = ledger.control.to_string();
-    switch(&control, &json!({"hold": true})).await?;
+    set_controls(&control, &json!({"hold": true})).await?;
     let response = tokio::spawn(pay(&ledger).text());
     eventually("the ledger executes the payment", async || {
         (counts(&ledger).await.ok()?["running"] == 1).then_some(())
     })
     .await?;
-    switch(&control, &json!({"hold": false})).await?;
+    set_controls(&control, &json!({"hold": false})).await?;
     assert_eq!(response.await??.json()["run"], 1);
     Ok(())
 }
@@ -69,9 +69,9 @@
     let control = hosts.control.to_string();
     let address = hosts.address.to_string();
     let read = async || Call::new(&address, Method::GET, "/hosts").text().await;
-    switch(&control, &json!({"groups": [{"targets": ["1"]}]})).await?;
+    set_controls(&control, &json!({"groups": [{"targets": ["1"]}]})).await?;
     assert_eq!(read().await?.json(), json!([{"targets": ["1"]}]));
-    switch(&control, &json!({"groups": [], "lag_ms": 200})).await?;
+    set_controls(&control, &json!({"groups": [], "lag_ms": 200})).await?;
     assert_eq!(read().await?.json(), json!([{"targets": ["1"]}]));
     eventually("the change is published", async || {
         (read().await.ok()?.json() == json!([])).then_some(())
--- a/testutils/tests/test_samples.rs
+++ b/testutils/tests/test_samples.rs
@@ -12,7 +12,7 @@
     let configuration = document::parse(document).expect("a valid configuration");
     assert_eq!(configuration.workspaces.len(), workspaces);
     for name in configuration.workspaces.keys() {
-        let key = deployment::hash(&format!("{name}-key"));
+        let key = deployment::hash_bearer_key(&format!("{name}-key"));
         assert!(document.contains(&key), "{name}: {key}");
     }
 }
