--- a/node/examples/path_cost.rs
+++ b/node/examples/path_cost.rs
@@ -9,7 +9,7 @@
 use dottereltally_testutils::{
     client::Call,
     deployment::Deployment,
-    fixture::{Fixture, KEY},
+    fixture::{DEMO_KEY, Fixture},
     wait::eventually,
 };
 use eyre::{Result, eyre};
@@ -117,7 +117,7 @@
     let address = deployment.caller_address(NODE)?;
     let before = usage(deployment).await?;
     let started = Instant::now();
-    let call = Call::new(&address, Method::GET, "/tickets/1").key(KEY);
+    let call = Call::new(&address, Method::GET, "/tickets/1").key(DEMO_KEY);
     let failed = send(vec![call; REQUESTS]).await?;
     let spent = usage(deployment).await?.processor_seconds - before.processor_seconds;
     println!(
@@ -136,7 +136,7 @@
         "messages": [{"role": "user", "content": format!("prompt {number}")}],
     });
     Call::new(address, Method::POST, "/v1/chat/completions")
-        .key(KEY)
+        .key(DEMO_KEY)
         .json(&body)
 }
 
--- a/node/tests/test_exclusive.rs
+++ b/node/tests/test_exclusive.rs
@@ -76,7 +76,7 @@
     let deployment = Fixture::default().start().await?;
     switch(&deployment, "ledger-1", json!({"hold": true})).await?;
     let first = start_payment(&deployment, "entry-1")?;
-    deployment.reaches("ledger-1", "running", 1).await?;
+    deployment.wait_for_count("ledger-1", "running", 1).await?;
     let before = claim_transactions(&deployment).await?;
     let second = start_payment(&deployment, "entry-2")?;
     wait_for_claims_above(&deployment, before).await?;
@@ -89,7 +89,7 @@
     }
     let third = pay_until_success(&deployment, "entry-2").await?;
     assert_eq!(third.text, first.text);
-    assert_eq!(deployment.payments(KEY).await?, 1);
+    assert_eq!(deployment.payment_runs(KEY).await?, 1);
     Ok(())
 }
 
@@ -98,11 +98,11 @@
     let deployment = Fixture::default().start().await?;
     switch(&deployment, "ledger-1", json!({"hold": true})).await?;
     let first = start_payment(&deployment, "entry-1")?;
-    deployment.reaches("ledger-1", "running", 1).await?;
+    deployment.wait_for_count("ledger-1", "running", 1).await?;
     first.abort();
     switch(&deployment, "ledger-1", json!({"hold": false})).await?;
     pay_until_success(&deployment, "entry-2").await?;
-    assert_eq!(deployment.payments(KEY).await?, 1);
+    assert_eq!(deployment.payment_runs(KEY).await?, 1);
     Ok(())
 }
 
@@ -111,14 +111,14 @@
     let mut deployment = Fixture::default().start().await?;
     switch(&deployment, "ledger-1", json!({"hold": true})).await?;
     let first = start_payment(&deployment, "entry-1")?;
-    deployment.reaches("ledger-1", "running", 1).await?;
+    deployment.wait_for_count("ledger-1", "running", 1).await?;
     deployment.kill_node("entry-1").await?;
     assert!(first.await?.is_err());
     switch(&deployment, "ledger-1", json!({"hold": false})).await?;
     for _ in 0..3 {
         expect_may_have_run(&deployment, "entry-2").await?;
     }
-    assert_eq!(deployment.payments(KEY).await?, 1);
+    assert_eq!(deployment.payment_runs(KEY).await?, 1);
     Ok(())
 }
 
@@ -133,7 +133,7 @@
     assert!(first.await?.is_err());
     switch(&deployment, "kv", json!({"hold_after": false})).await?;
     let second = deployment.pay("entry-2", KEY)?.text().await?;
-    let runs = deployment.payments(KEY).await?;
+    let runs = deployment.payment_runs(KEY).await?;
     assert!(runs <= 1);
     assert_eq!(second.status.is_success(), runs == 1, "{}", second.text);
     if !second.status.is_success() {
@@ -166,7 +166,7 @@
         .node_process("entry-1")?
         .signal(Signal::SIGCONT)?;
     let first = first.await??;
-    let runs = deployment.payments(KEY).await?;
+    let runs = deployment.payment_runs(KEY).await?;
     assert!(runs <= 1, "ran {runs} times");
     assert!(
         refused.iter().all(|run| run == "may-have-run"),
@@ -176,7 +176,7 @@
         assert_eq!(runs, 0, "{}", first.text);
     }
     pay_until_success(&deployment, "entry-2").await?;
-    assert_eq!(deployment.payments(KEY).await?, 1);
+    assert_eq!(deployment.payment_runs(KEY).await?, 1);
     Ok(())
 }
 
@@ -186,7 +186,7 @@
     let mut deployment = Fixture::default().start().await?;
     switch(&deployment, "ledger-1", json!({"hold": true})).await?;
     let first = start_payment(&deployment, "entry-1")?;
-    deployment.reaches("ledger-1", "running", 1).await?;
+    deployment.wait_for_count("ledger-1", "running", 1).await?;
     deployment
         .node_process("entry-1")?
         .signal(Signal::SIGSTOP)?;
@@ -199,7 +199,7 @@
     assert_eq!(first.status, StatusCode::OK, "{}", first.text);
     let second = pay_until_success(&deployment, "entry-2").await?;
     assert_eq!(second.text, first.text);
-    assert_eq!(deployment.payments(KEY).await?, 1);
+    assert_eq!(deployment.payment_runs(KEY).await?, 1);
     Ok(())
 }
 
@@ -212,10 +212,10 @@
     switch(&deployment, "kv", json!({"lose_answers": times})).await?;
     let first = deployment.pay("entry-1", KEY)?.text().await?;
     assert_eq!(first.status, StatusCode::OK, "{}", first.text);
-    assert_eq!(deployment.payments(KEY).await?, 1);
+    assert_eq!(deployment.payment_runs(KEY).await?, 1);
     switch(&deployment, "kv", json!({"lose_answers": 0})).await?;
     pay_until_success(&deployment, "entry-2").await?;
-    assert_eq!(deployment.payments(KEY).await?, 1);
+    assert_eq!(deployment.payment_runs(KEY).await?, 1);
     Ok(())
 }
 
@@ -225,10 +225,10 @@
     switch(&deployment, "kv", json!({"lose_requests": 1})).await?;
     let first = deployment.pay("entry-1", KEY)?.text().await?;
     if first.run() == "not-run" {
-        assert_eq!(deployment.payments(KEY).await?, 0);
+        assert_eq!(deployment.payment_runs(KEY).await?, 0);
     }
     pay_until_success(&deployment, "entry-2").await?;
-    assert_eq!(deployment.payments(KEY).await?, 1);
+    assert_eq!(deployment.payment_runs(KEY).await?, 1);
     Ok(())
 }
 
@@ -254,7 +254,7 @@
     }
     for number in 0..CONCURRENT_PAYMENTS {
         let key = format!("race-{number}");
-        assert_eq!(deployment.payments(&key).await?, 1, "{key}");
+        assert_eq!(deployment.payment_runs(&key).await?, 1, "{key}");
         assert!(succeeded.contains(&key), "{key}");
     }
     Ok(())
@@ -274,10 +274,10 @@
     let status = first.status;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE, "{}", first.text);
     assert!(first.headers.contains_key("retry-after"));
-    assert_eq!(deployment.payments(KEY).await?, 0);
+    assert_eq!(deployment.payment_runs(KEY).await?, 0);
     switch(&deployment, "kv", recovery).await?;
     pay_until_success(&deployment, "entry-2").await?;
-    assert_eq!(deployment.payments(KEY).await?, 1);
+    assert_eq!(deployment.payment_runs(KEY).await?, 1);
     Ok(())
 }
 
@@ -298,7 +298,7 @@
     }
     switch(&deployment, "kv", json!({"down": false})).await?;
     pay_until_success(&deployment, "entry-2").await?;
-    assert_eq!(deployment.payments(KEY).await?, 1);
+    assert_eq!(deployment.payment_runs(KEY).await?, 1);
     Ok(())
 }
 
@@ -307,7 +307,7 @@
     let deployment = Fixture::default().start().await?;
     switch(&deployment, "ledger-1", json!({"hold": true})).await?;
     let first = start_payment(&deployment, "entry-1")?;
-    deployment.reaches("ledger-1", "running", 1).await?;
+    deployment.wait_for_count("ledger-1", "running", 1).await?;
     switch(&deployment, "kv", json!({"down": true})).await?;
     switch(&deployment, "ledger-1", json!({"hold": false})).await?;
     let first = first.await??;
@@ -315,7 +315,7 @@
     switch(&deployment, "kv", json!({"down": false})).await?;
     let second = pay_until_success(&deployment, "entry-2").await?;
     assert_eq!(second.text, first.text);
-    assert_eq!(deployment.payments(KEY).await?, 1);
+    assert_eq!(deployment.payment_runs(KEY).await?, 1);
     Ok(())
 }
 
@@ -331,7 +331,7 @@
     for node in ["entry-2", "entry-1"] {
         expect_may_have_run(&deployment, node).await?;
     }
-    assert_eq!(deployment.payments(KEY).await?, runs);
+    assert_eq!(deployment.payment_runs(KEY).await?, runs);
     Ok(())
 }
 
@@ -343,9 +343,9 @@
     let call = deployment.pay("entry-1", KEY)?;
     let first = call.header("dottereltally-deadline", "1s").text().await?;
     assert!(!first.status.is_success(), "{}", first.text);
-    assert_eq!(deployment.payments(KEY).await?, 0);
+    assert_eq!(deployment.payment_runs(KEY).await?, 0);
     switch(&deployment, "ledger-1", json!({"down": false})).await?;
     pay_until_success(&deployment, "entry-2").await?;
-    assert_eq!(deployment.payments(KEY).await?, 1);
+    assert_eq!(deployment.payment_runs(KEY).await?, 1);
     Ok(())
 }
--- a/node/tests/test_generations.rs
+++ b/node/tests/test_generations.rs
@@ -3,7 +3,7 @@
 
 use dottereltally_testutils::{
     deployment::Deployment,
-    fixture::{Fixture, text},
+    fixture::{Fixture, configuration},
     wait::eventually,
 };
 use eyre::Result;
@@ -18,7 +18,7 @@
 
 /// Returns the fixture's configuration with another path for payments.
 fn with_path(path: &str) -> String {
-    text().replace("/payments", path)
+    configuration().replace("/payments", path)
 }
 
 async fn generation(deployment: &Deployment, node: &str) -> Result<u64> {
@@ -44,7 +44,7 @@
     for generation in 2..=5 {
         let path = format!("/releases-{generation}");
         deployment.apply_configuration(&with_path(&path)).await?;
-        deployment.settled(generation).await?;
+        deployment.wait_until_converged(generation).await?;
         for node in deployment.node_names() {
             assert_in_force(&deployment, &node, &path).await?;
         }
@@ -64,7 +64,7 @@
     deployment
         .apply_configuration(&with_path("/releases"))
         .await?;
-    deployment.settled(2).await?;
+    deployment.wait_until_converged(2).await?;
     for node in ["entry-1", "entry-2"] {
         assert_in_force(&deployment, node, "/releases").await?;
     }
@@ -78,7 +78,7 @@
     deployment
         .apply_configuration(&with_path("/releases"))
         .await?;
-    deployment.settled(2).await?;
+    deployment.wait_until_converged(2).await?;
     let stale = json!({"stale_by": 1, "watch_silent": true});
     deployment.set_controls("kv", &stale).await?;
     deployment.add_node("entry-3", "plovdiv").await?;
@@ -90,7 +90,7 @@
         (read_count(&deployment).await.ok()? >= before + STALE_READS).then_some(())
     })
     .await?;
-    deployment.settled(2).await?;
+    deployment.wait_until_converged(2).await?;
     for node in deployment.node_names() {
         assert_eq!(generation(&deployment, &node).await?, 2, "{node}");
         assert_in_force(&deployment, &node, "/releases").await?;
@@ -98,7 +98,7 @@
     let fresh = json!({"stale_by": 0, "watch_silent": false});
     deployment.set_controls("kv", &fresh).await?;
     deployment.apply_configuration(&with_path("/bales")).await?;
-    deployment.settled(3).await?;
+    deployment.wait_until_converged(3).await?;
     for node in deployment.node_names() {
         assert_in_force(&deployment, &node, "/bales").await?;
     }
@@ -151,12 +151,12 @@
     deployment
         .apply_configuration(&with_path("/releases"))
         .await?;
-    deployment.settled(2).await?;
+    deployment.wait_until_converged(2).await?;
     deployment
         .set_controls("kv", &json!({"down": true}))
         .await?;
     deployment.add_node("entry-3", "plovdiv").await?;
-    deployment.settled(2).await?;
+    deployment.wait_until_converged(2).await?;
     for node in ["entry-1", "entry-2", "entry-3"] {
         assert_eq!(generation(&deployment, node).await?, 2);
         let call = deployment.call(node, Method::GET, "/tickets/1")?;
@@ -169,12 +169,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_invalid_text_is_not_accepted() -> Result<()> {
     let deployment = Fixture::default().start().await?;
-    let invalid = text().replace("service: yard-app", "service: no-app");
+    let invalid = configuration().replace("service: yard-app", "service: no-app");
     assert!(deployment.apply_configuration(&invalid).await.is_err());
     deployment
         .apply_configuration(&with_path("/releases"))
         .await?;
-    deployment.settled(2).await?;
+    deployment.wait_until_converged(2).await?;
     eventually("generation 2 is in force", async || {
         (generation(&deployment, "entry-1").await.ok()? == 2).then_some(())
     })
--- a/node/tests/test_leaving.rs
+++ b/node/tests/test_leaving.rs
@@ -76,7 +76,7 @@
         .set_controls("tally-1", &json!({"hold": true}))
         .await?;
     let running = tokio::spawn(deployment.chat("entry-1", "long", 200)?.text());
-    deployment.reaches("tally-1", "started", 1).await?;
+    deployment.wait_for_count("tally-1", "started", 1).await?;
     deployment.mark_leaving("tally-1").await?;
     let late = deployment.chat("entry-1", "late", 2)?;
     let late = eventually("new requests are refused", async || {
--- a/node/tests/test_not_run.rs
+++ b/node/tests/test_not_run.rs
@@ -177,7 +177,7 @@
         let call = deployment.chat("entry-1", &long_prompt("first", number), 4)?;
         filling.push(tokio::spawn(call.text()));
     }
-    deployment.reaches("tally-1", "received", 4).await?;
+    deployment.wait_for_count("tally-1", "received", 4).await?;
     let mut waiting = Vec::new();
     for number in 0..20 {
         let call = deployment.chat("entry-1", &long_prompt("late", number), 4)?;
--- a/node/tests/test_outage.rs
+++ b/node/tests/test_outage.rs
@@ -73,7 +73,7 @@
         answer.status.is_success().then_some(())
     })
     .await?;
-    assert_eq!(deployment.payments("after").await?, 1);
+    assert_eq!(deployment.payment_runs("after").await?, 1);
     Ok(())
 }
 
@@ -93,7 +93,7 @@
     Outage::Both
         .set(&deployment, &json!({"down": false}))
         .await?;
-    deployment.settled(1).await?;
+    deployment.wait_until_converged(1).await?;
     assert_serves(&deployment, &["entry-1", "entry-2", "entry-3"]).await
 }
 
@@ -104,7 +104,7 @@
     let mut deployment = Fixture::default().start().await?;
     Outage::Kv.set(&deployment, &json!({"down": true})).await?;
     deployment.add_node("entry-3", "plovdiv").await?;
-    deployment.settled(1).await?;
+    deployment.wait_until_converged(1).await?;
     assert_serves(&deployment, &["entry-3"]).await
 }
 
--- a/node/tests/test_path.rs
+++ b/node/tests/test_path.rs
@@ -57,7 +57,7 @@
     let second = deployment.pay("entry-2", "release-1")?.text().await?;
     assert_eq!(second.status, StatusCode::OK, "{}", second.text);
     assert_eq!(first.text, second.text);
-    assert_eq!(deployment.payments("release-1").await?, 1);
+    assert_eq!(deployment.payment_runs("release-1").await?, 1);
     Ok(())
 }
 
@@ -74,7 +74,7 @@
     let mut answer = call.send().await?;
     assert!(answer.piece().await?.is_some());
     drop(answer);
-    deployment.reaches("tally-1", "cancelled", 1).await?;
+    deployment.wait_for_count("tally-1", "cancelled", 1).await?;
     let counts = deployment.counts("tally-1").await?;
     assert_eq!(counts["finished"], 0);
     Ok(())
--- a/node/tests/test_random.rs
+++ b/node/tests/test_random.rs
@@ -16,7 +16,7 @@
     client::{self, Call, Whole},
     deployment::Deployment,
     engine::format,
-    fixture::{Fixture, KEY, chat_body},
+    fixture::{DEMO_KEY, Fixture, chat_body},
     wait::eventually,
 };
 use eyre::{Result, ensure};
@@ -99,7 +99,7 @@
 async fn pay_until_answered(shared: &Shared, key: &str, rng: &mut SmallRng) -> Result<bool> {
     for _ in 0..MAX_ATTEMPTS {
         let call = Call::new(&shared.random_node(rng), Method::POST, "/payments")
-            .key(KEY)
+            .key(DEMO_KEY)
             .header("idempotency-key", key)
             .json(&json!({"payment": key}));
         let Ok(answer) = call.text().await else {
@@ -133,7 +133,7 @@
             Method::POST,
             "/v1/chat/completions",
         )
-        .key(KEY)
+        .key(DEMO_KEY)
         .json(&chat_body(&prompt, tokens));
         if let Ok(answer) = call.text().await {
             complete += u64::from(is_complete(&answer, &prompt, tokens)?);
@@ -294,7 +294,7 @@
 
 /// Checks that every node serves again after the last fault.
 async fn assert_recovers(deployment: &Deployment) -> Result<()> {
-    deployment.settled(1).await?;
+    deployment.wait_until_converged(1).await?;
     for node in NODES {
         let key = format!("after-{node}");
         eventually("a payment is answered", async || {
@@ -302,7 +302,7 @@
             answer.status.is_success().then_some(())
         })
         .await?;
-        ensure!(deployment.payments(&key).await? == 1, "{key}");
+        ensure!(deployment.payment_runs(&key).await? == 1, "{key}");
     }
     Ok(())
 }
--- a/node/tests/test_shutdown.rs
+++ b/node/tests/test_shutdown.rs
@@ -112,7 +112,7 @@
         .set_controls("ledger-1", &json!({"hold": true}))
         .await?;
     let payment = tokio::spawn(deployment.pay("entry-1", "release-1")?.text());
-    deployment.reaches("ledger-1", "running", 1).await?;
+    deployment.wait_for_count("ledger-1", "running", 1).await?;
     deployment
         .node_process("entry-1")?
         .signal(Signal::SIGTERM)?;
@@ -134,6 +134,6 @@
     if !again.status.is_success() {
         assert_eq!(again.run(), "may-have-run", "{}", again.text);
     }
-    assert_eq!(deployment.payments("release-1").await?, 1);
+    assert_eq!(deployment.payment_runs("release-1").await?, 1);
     Ok(())
 }
--- a/node/tests/test_silence.rs
+++ b/node/tests/test_silence.rs
@@ -113,13 +113,13 @@
         .set_controls("ledger-1", &json!({"hold": true}))
         .await?;
     let first = tokio::spawn(deployment.pay("entry-1", "release-1")?.text());
-    deployment.reaches("ledger-1", "running", 1).await?;
+    deployment.wait_for_count("ledger-1", "running", 1).await?;
     let silent = json!({"silent": silence, "hold": false});
     deployment.set_controls("ledger-1", &silent).await?;
     let first = first.await??;
     assert_eq!(first.run(), "may-have-run", "{}", first.text);
     let second = deployment.pay("entry-2", "release-1")?.text().await?;
     assert_eq!(second.run(), "may-have-run", "{}", second.text);
-    assert_eq!(deployment.payments("release-1").await?, 1);
+    assert_eq!(deployment.payment_runs("release-1").await?, 1);
     Ok(())
 }
--- a/node/tests/test_tiers.rs
+++ b/node/tests/test_tiers.rs
@@ -57,7 +57,7 @@
     let rate = json!({"prefill_rate": PREFILL_TOKENS_PER_SECOND});
     deployment.set_controls("tally-1", &rate).await?;
     let routine_calls = send(&deployment, "entry-1", "tag", ROUTINE_COUNT)?;
-    deployment.reaches("tally-1", "received", 5).await?;
+    deployment.wait_for_count("tally-1", "received", 5).await?;
     let urgent_calls = send(&deployment, urgent_node, "gate", URGENT_COUNT)?;
     for (prompt, call) in urgent_calls {
         let answer = call
--- a/testutils/examples/demo.rs
+++ b/testutils/examples/demo.rs
@@ -60,7 +60,7 @@
         deployment.add_node(name, data_centre).await?;
     }
     let generation = deployment.apply_configuration(CONFIGURATION).await?;
-    deployment.settled(generation).await?;
+    deployment.wait_until_converged(generation).await?;
     println!("3 nodes in 2 data centres use configuration generation {generation}");
     Ok(deployment)
 }
--- a/testutils/src/fixture.rs
+++ b/testutils/src/fixture.rs
@@ -11,7 +11,7 @@
 };
 
 /// Bearer key of the workspace `demo`, which has no limit.
-pub const KEY: &str = "demo-key";
+pub const DEMO_KEY: &str = "demo-key";
 /// Bearer key of the workspace `small`, which is limited to one request at a
 /// time.
 pub const SMALL_KEY: &str = "small-key";
@@ -51,9 +51,9 @@
 
 /// Returns the operators' configuration of the fixture, in YAML.
 #[must_use]
-pub fn text() -> String {
+pub fn configuration() -> String {
     let (key, small) = (
-        deployment::hash_bearer_key(KEY),
+        deployment::hash_bearer_key(DEMO_KEY),
         deployment::hash_bearer_key(SMALL_KEY),
     );
     format!(
@@ -115,8 +115,8 @@
             let name = format!("entry-{number}");
             deployment.add_node(&name, data_centre).await?;
         }
-        deployment.apply_configuration(&text()).await?;
-        deployment.settled(1).await?;
+        deployment.apply_configuration(&configuration()).await?;
+        deployment.wait_until_converged(1).await?;
         Ok(deployment)
     }
 }
@@ -128,7 +128,7 @@
     /// # Errors
     ///
     /// Fails if a node does not get there in time.
-    pub async fn settled(&self, generation: u64) -> Result<()> {
+    pub async fn wait_until_converged(&self, generation: u64) -> Result<()> {
         self.wait_until_ready().await?;
         let names = self.node_names();
         for name in &names {
@@ -149,13 +149,13 @@
         Ok(())
     }
 
-    /// Prepares a request to a node with the bearer key [`KEY`].
+    /// Prepares a request to a node with the bearer key [`DEMO_KEY`].
     ///
     /// # Errors
     ///
     /// Fails if the node is unknown.
     pub fn call(&self, node: &str, method: Method, path: &str) -> Result<Call> {
-        Ok(Call::new(&self.caller_address(node)?, method, path).key(KEY))
+        Ok(Call::new(&self.caller_address(node)?, method, path).key(DEMO_KEY))
     }
 
     /// Prepares a request for a streamed chat completion.
@@ -185,7 +185,7 @@
     /// # Errors
     ///
     /// Fails if an endpoint does not respond.
-    pub async fn payments(&self, key: &str) -> Result<u64> {
+    pub async fn payment_runs(&self, key: &str) -> Result<u64> {
         let mut runs = 0;
         for name in self.endpoint_names() {
             let counts = self.counts(&name).await?;
@@ -199,7 +199,7 @@
     /// # Errors
     ///
     /// Fails if that does not happen in time.
-    pub async fn reaches(&self, endpoint: &str, count: &str, number: u64) -> Result<()> {
+    pub async fn wait_for_count(&self, endpoint: &str, count: &str, number: u64) -> Result<()> {
         let what = format!("{count} of {endpoint} is at least {number}");
         eventually(&what, async || {
             let counts = self.counts(endpoint).await.ok()?;
