--- a/node/examples/path_cost.rs
+++ b/node/examples/path_cost.rs
@@ -58,7 +58,7 @@
 
 async fn usage(deployment: &Deployment) -> Result<Usage> {
     let address = deployment.operations_address(NODE)?;
-    let page = Call::new(&address, Method::GET, "/metrics").text().await?;
+    let page = Call::new(&address, Method::GET, "/metrics").fetch().await?;
     let read = |name: &str| -> Result<f64> {
         let line = page.text.lines().find(|line| line.starts_with(name));
         let value = line.and_then(|line| line.rsplit(' ').next());
@@ -94,7 +94,7 @@
             failed += next_failed(&mut running).await?;
         }
         running.spawn(async move {
-            call.text()
+            call.fetch()
                 .await
                 .is_ok_and(|response| response.status.is_success())
         });
@@ -117,7 +117,7 @@
     let address = deployment.caller_address(NODE)?;
     let before = usage(deployment).await?;
     let started = Instant::now();
-    let call = Call::new(&address, Method::GET, "/tickets/1").key(DEMO_KEY);
+    let call = Call::new(&address, Method::GET, "/tickets/1").bearer_key(DEMO_KEY);
     let failed = send(vec![call; REQUESTS]).await?;
     let spent = usage(deployment).await?.processor_seconds - before.processor_seconds;
     println!(
@@ -136,7 +136,7 @@
         "messages": [{"role": "user", "content": format!("prompt {number}")}],
     });
     Call::new(address, Method::POST, "/v1/chat/completions")
-        .key(DEMO_KEY)
+        .bearer_key(DEMO_KEY)
         .json(&body)
 }
 
--- a/node/tests/test_crash.rs
+++ b/node/tests/test_crash.rs
@@ -54,7 +54,7 @@
     eventually("the request is quarantined", async || {
         sends += 1;
         let node = &names[sends % nodes];
-        let answer = deployment.chat(node, MARKER, 4).ok()?.text().await.ok()?;
+        let answer = deployment.chat(node, MARKER, 4).ok()?.fetch().await.ok()?;
         (answer.json()["reason"] == "quarantine").then_some(())
     })
     .await?;
@@ -62,13 +62,13 @@
     assert!(crashes <= MAX_CRASHES, "{crashes} engines crashed");
     for node in &names {
         eventually("every node has quarantined the request", async || {
-            let answer = deployment.chat(node, MARKER, 4).ok()?.text().await.ok()?;
+            let answer = deployment.chat(node, MARKER, 4).ok()?.fetch().await.ok()?;
             (answer.json()["reason"] == "quarantine").then_some(())
         })
         .await?;
     }
     assert_eq!(crashed(&mut deployment)?, crashes);
-    let harmless = deployment.chat("entry-1", "harmless", 4)?.text().await?;
+    let harmless = deployment.chat("entry-1", "harmless", 4)?.fetch().await?;
     assert_eq!(harmless.status, StatusCode::OK, "{}", harmless.text);
     assert_eq!(harmless.content(), format::text("harmless", 4));
     Ok(())
@@ -89,9 +89,9 @@
         let mut calls = Vec::new();
         for number in 0..HARMLESS_REQUESTS {
             let call = deployment.chat("entry-1", &harmless_prompt(number), 40)?;
-            calls.push(tokio::spawn(call.text()));
+            calls.push(tokio::spawn(call.fetch()));
         }
-        let crash_response = deployment.chat(last, MARKER, 4)?.text().await;
+        let crash_response = deployment.chat(last, MARKER, 4)?.fetch().await;
         drop(crash_response);
         for call in calls {
             if let Ok(answer) = call.await? {
@@ -104,7 +104,7 @@
         let prompt = harmless_prompt(number);
         eventually("a harmless request is served", async || {
             let answer = deployment.chat("entry-1", &prompt, 40).ok()?;
-            let answer = answer.text().await.ok()?;
+            let answer = answer.fetch().await.ok()?;
             (answer.content() == format::text(&prompt, 40)).then_some(())
         })
         .await?;
--- a/node/tests/test_dispatch.rs
+++ b/node/tests/test_dispatch.rs
@@ -36,13 +36,13 @@
         let fault = json!({"die": point, "die_next": 1});
         deployment.set_controls(name, &fault).await?;
     }
-    let answer = deployment.chat("entry-1", "unlucky", 8)?.text().await;
+    let answer = deployment.chat("entry-1", "unlucky", 8)?.fetch().await;
     match answer {
         // The head was sent before the connection broke.
         Ok(answer) if answer.status == StatusCode::OK => {
             assert!(!answer.is_done(), "{}", answer.text);
         }
-        Ok(answer) => assert_eq!(answer.run(), "may-have-run", "{}", answer.text),
+        Ok(answer) => assert_eq!(answer.run_state(), "may-have-run", "{}", answer.text),
         Err(cause) => assert_eq!(point, "after", "{cause:?}"),
     }
     assert_eq!(count_received(&deployment, "unlucky").await?, 1);
@@ -57,11 +57,11 @@
             .set_controls(name, &json!({"hold": true}))
             .await?;
     }
-    let call = tokio::spawn(deployment.chat("entry-1", "unlucky", 8)?.text());
+    let call = tokio::spawn(deployment.chat("entry-1", "unlucky", 8)?.fetch());
     let name = running_engine(&deployment).await?;
     deployment.endpoint_process(&name)?.kill().await?;
     let answer = call.await??;
-    assert_eq!(answer.run(), "may-have-run", "{}", answer.text);
+    assert_eq!(answer.run_state(), "may-have-run", "{}", answer.text);
     deployment.restart_endpoint(&name).await?;
     assert_eq!(count_received(&deployment, "unlucky").await?, 0);
     Ok(())
@@ -90,7 +90,7 @@
         .await?;
     for number in 0..REQUESTS {
         let prompt = format!("request {number}");
-        let answer = deployment.chat("entry-1", &prompt, 4)?.text().await?;
+        let answer = deployment.chat("entry-1", &prompt, 4)?.fetch().await?;
         assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
         assert_eq!(answer.content(), format::text(&prompt, 4));
         assert_eq!(count_received(&deployment, &prompt).await?, 1);
@@ -109,11 +109,11 @@
     let deployment = fixture.start().await?;
     for number in 0..REQUESTS {
         let prompt = format!("request {number}");
-        let answer = deployment.chat("entry-1", &prompt, 4)?.text().await?;
+        let answer = deployment.chat("entry-1", &prompt, 4)?.fetch().await?;
         if answer.status == StatusCode::OK {
             assert_eq!(answer.content(), format::text(&prompt, 4));
         }
-        if answer.run() == "not-run" {
+        if answer.run_state() == "not-run" {
             assert_eq!(count_received(&deployment, &prompt).await?, 0);
         }
         assert!(count_received(&deployment, &prompt).await? <= 1);
--- a/node/tests/test_exclusive.rs
+++ b/node/tests/test_exclusive.rs
@@ -2,7 +2,7 @@
 //! payments that the ledger service keeps.
 
 use dottereltally_testutils::{
-    client::Whole, deployment::Deployment, fixture::Fixture, wait::eventually,
+    client::Response, deployment::Deployment, fixture::Fixture, wait::eventually,
 };
 use eyre::{Result, ensure};
 use http::StatusCode;
@@ -17,14 +17,14 @@
 const CONCURRENT_PAYMENTS: usize = 24;
 
 /// Sends the payment without waiting for its answer.
-fn start_payment(deployment: &Deployment, node: &str) -> Result<JoinHandle<Result<Whole>>> {
-    Ok(tokio::spawn(deployment.pay(node, KEY)?.text()))
+fn start_payment(deployment: &Deployment, node: &str) -> Result<JoinHandle<Result<Response>>> {
+    Ok(tokio::spawn(deployment.pay(node, KEY)?.fetch()))
 }
 
 /// Sends the payment until it succeeds.
-async fn pay_until_success(deployment: &Deployment, node: &str) -> Result<Whole> {
+async fn pay_until_success(deployment: &Deployment, node: &str) -> Result<Response> {
     eventually("the payment is answered", async || {
-        let answer = deployment.pay(node, KEY).ok()?.text().await.ok()?;
+        let answer = deployment.pay(node, KEY).ok()?.fetch().await.ok()?;
         answer.status.is_success().then_some(answer)
     })
     .await
@@ -33,9 +33,9 @@
 /// Sends a payment whose outcome the nodes can't know; the response must say that
 /// it may have run.
 async fn expect_may_have_run(deployment: &Deployment, node: &str) -> Result<()> {
-    let answer = deployment.pay(node, KEY)?.text().await?;
+    let answer = deployment.pay(node, KEY)?.fetch().await?;
     let (status, text) = (answer.status, &answer.text);
-    ensure!(answer.run() == "may-have-run", "{status} {text}");
+    ensure!(answer.run_state() == "may-have-run", "{status} {text}");
     Ok(())
 }
 
@@ -85,7 +85,7 @@
     assert_eq!(first.status, StatusCode::OK, "{}", first.text);
     let second = second.await??;
     if !second.status.is_success() {
-        assert_eq!(second.run(), "may-have-run", "{}", second.text);
+        assert_eq!(second.run_state(), "may-have-run", "{}", second.text);
     }
     let third = pay_until_success(&deployment, "entry-2").await?;
     assert_eq!(third.text, first.text);
@@ -132,12 +132,12 @@
     deployment.kill_node("entry-1").await?;
     assert!(first.await?.is_err());
     switch(&deployment, "kv", json!({"hold_after": false})).await?;
-    let second = deployment.pay("entry-2", KEY)?.text().await?;
+    let second = deployment.pay("entry-2", KEY)?.fetch().await?;
     let runs = deployment.payment_runs(KEY).await?;
     assert!(runs <= 1);
     assert_eq!(second.status.is_success(), runs == 1, "{}", second.text);
     if !second.status.is_success() {
-        assert_eq!(second.run(), "may-have-run", "{}", second.text);
+        assert_eq!(second.run_state(), "may-have-run", "{}", second.text);
     }
     Ok(())
 }
@@ -157,9 +157,9 @@
     switch(&deployment, "kv", json!({"hold_after": false})).await?;
     let mut refused = Vec::new();
     for _ in 0..3 {
-        let answer = deployment.pay("entry-2", KEY)?.text().await?;
+        let answer = deployment.pay("entry-2", KEY)?.fetch().await?;
         if !answer.status.is_success() {
-            refused.push(answer.run());
+            refused.push(answer.run_state());
         }
     }
     deployment
@@ -172,7 +172,7 @@
         refused.iter().all(|run| run == "may-have-run"),
         "{refused:?}"
     );
-    if first.run() == "not-run" {
+    if first.run_state() == "not-run" {
         assert_eq!(runs, 0, "{}", first.text);
     }
     pay_until_success(&deployment, "entry-2").await?;
@@ -210,7 +210,7 @@
 async fn the_response_to_the_claim_is_lost(#[case] times: u64) -> Result<()> {
     let deployment = Fixture::default().start().await?;
     switch(&deployment, "kv", json!({"lose_answers": times})).await?;
-    let first = deployment.pay("entry-1", KEY)?.text().await?;
+    let first = deployment.pay("entry-1", KEY)?.fetch().await?;
     assert_eq!(first.status, StatusCode::OK, "{}", first.text);
     assert_eq!(deployment.payment_runs(KEY).await?, 1);
     switch(&deployment, "kv", json!({"lose_answers": 0})).await?;
@@ -223,8 +223,8 @@
 async fn the_request_of_the_claim_is_lost() -> Result<()> {
     let deployment = Fixture::default().start().await?;
     switch(&deployment, "kv", json!({"lose_requests": 1})).await?;
-    let first = deployment.pay("entry-1", KEY)?.text().await?;
-    if first.run() == "not-run" {
+    let first = deployment.pay("entry-1", KEY)?.fetch().await?;
+    if first.run_state() == "not-run" {
         assert_eq!(deployment.payment_runs(KEY).await?, 0);
     }
     pay_until_success(&deployment, "entry-2").await?;
@@ -240,7 +240,7 @@
         let key = format!("race-{number}");
         for node in ["entry-1", "entry-2"] {
             let call = deployment.pay(node, &key)?;
-            calls.push((key.clone(), tokio::spawn(call.text())));
+            calls.push((key.clone(), tokio::spawn(call.fetch())));
         }
     }
     let mut succeeded = Vec::new();
@@ -250,7 +250,7 @@
             succeeded.push(key);
             continue;
         }
-        assert_eq!(answer.run(), "may-have-run", "{}", answer.text);
+        assert_eq!(answer.run_state(), "may-have-run", "{}", answer.text);
     }
     for number in 0..CONCURRENT_PAYMENTS {
         let key = format!("race-{number}");
@@ -270,7 +270,7 @@
 ) -> Result<()> {
     let deployment = Fixture::default().start().await?;
     switch(&deployment, "kv", outage).await?;
-    let first = deployment.pay("entry-1", KEY)?.text().await?;
+    let first = deployment.pay("entry-1", KEY)?.fetch().await?;
     let status = first.status;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE, "{}", first.text);
     assert!(first.headers.contains_key("retry-after"));
@@ -294,7 +294,7 @@
     switch(&deployment, "kv", json!({"down": true, hold: false})).await?;
     let first = first.await??;
     if !first.status.is_success() {
-        assert_eq!(first.run(), "may-have-run", "{}", first.text);
+        assert_eq!(first.run_state(), "may-have-run", "{}", first.text);
     }
     switch(&deployment, "kv", json!({"down": false})).await?;
     pay_until_success(&deployment, "entry-2").await?;
@@ -341,7 +341,7 @@
     let deployment = Fixture::default().start().await?;
     switch(&deployment, "ledger-1", json!({"down": true})).await?;
     let call = deployment.pay("entry-1", KEY)?;
-    let first = call.header("dottereltally-deadline", "1s").text().await?;
+    let first = call.header("dottereltally-deadline", "1s").fetch().await?;
     assert!(!first.status.is_success(), "{}", first.text);
     assert_eq!(deployment.payment_runs(KEY).await?, 0);
     switch(&deployment, "ledger-1", json!({"down": false})).await?;
--- a/node/tests/test_generations.rs
+++ b/node/tests/test_generations.rs
@@ -29,7 +29,7 @@
 /// Asserts that payments are served at a path.
 async fn assert_in_force(deployment: &Deployment, node: &str, path: &str) -> Result<()> {
     let call = deployment.call(node, Method::POST, path)?;
-    let answer = call.header("idempotency-key", path).text().await?;
+    let answer = call.header("idempotency-key", path).fetch().await?;
     assert_eq!(answer.status, StatusCode::OK, "{node}: {}", answer.text);
     Ok(())
 }
@@ -160,7 +160,7 @@
     for node in ["entry-1", "entry-2", "entry-3"] {
         assert_eq!(generation(&deployment, node).await?, 2);
         let call = deployment.call(node, Method::GET, "/tickets/1")?;
-        assert_eq!(call.text().await?.status, StatusCode::OK);
+        assert_eq!(call.fetch().await?.status, StatusCode::OK);
     }
     Ok(())
 }
--- a/node/tests/test_leaving.rs
+++ b/node/tests/test_leaving.rs
@@ -21,7 +21,7 @@
     for number in 0..REQUESTS {
         for node in ["entry-1", "entry-2"] {
             let prompt = format!("{round} {node} {number}");
-            let answer = deployment.chat(node, &prompt, 2)?.text().await?;
+            let answer = deployment.chat(node, &prompt, 2)?.fetch().await?;
             assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
             assert_eq!(answer.content(), format::text(&prompt, 2));
         }
@@ -75,14 +75,14 @@
     deployment
         .set_controls("tally-1", &json!({"hold": true}))
         .await?;
-    let running = tokio::spawn(deployment.chat("entry-1", "long", 200)?.text());
+    let running = tokio::spawn(deployment.chat("entry-1", "long", 200)?.fetch());
     deployment.wait_for_count("tally-1", "started", 1).await?;
     deployment.mark_leaving("tally-1").await?;
     let late = deployment.chat("entry-1", "late", 2)?;
     let late = eventually("new requests are refused", async || {
         let answer = late.clone().header("dottereltally-deadline", "1s");
-        let answer = answer.text().await.ok()?;
-        (answer.run() == "not-run").then_some(answer)
+        let answer = answer.fetch().await.ok()?;
+        (answer.run_state() == "not-run").then_some(answer)
     })
     .await?;
     assert_eq!(late.status, StatusCode::SERVICE_UNAVAILABLE);
--- a/node/tests/test_not_run.rs
+++ b/node/tests/test_not_run.rs
@@ -2,7 +2,7 @@
 //! the request.
 
 use dottereltally_testutils::{
-    client::{Call, Whole},
+    client::{Call, Response},
     deployment::Deployment,
     engine::format,
     fixture::{Fixture, SMALL_KEY, chat_body},
@@ -26,10 +26,10 @@
     Ok(total)
 }
 
-fn assert_refused(answer: &Whole, status: u16, reason: &str) {
+fn assert_refused(answer: &Response, status: u16, reason: &str) {
     assert_eq!(answer.status.as_u16(), status, "{}", answer.text);
     assert_eq!(answer.json()["reason"], reason, "{}", answer.text);
-    assert_eq!(answer.run(), "not-run", "{}", answer.text);
+    assert_eq!(answer.run_state(), "not-run", "{}", answer.text);
     let kind = &answer.headers["content-type"];
     assert_eq!(kind, "application/problem+json");
     assert!(answer.headers.contains_key("dottereltally-request"));
@@ -57,10 +57,10 @@
 
 impl Rejection {
     fn request(self, callers: &str) -> Call {
-        let call = |method, path| Call::new(callers, method, path).key("demo-key");
+        let call = |method, path| Call::new(callers, method, path).bearer_key("demo-key");
         let chat = call(Method::POST, CHAT).json(&chat_body("hello", 4));
         match self {
-            Self::UnknownKey => chat.key("another-key"),
+            Self::UnknownKey => chat.bearer_key("another-key"),
             Self::NoKey => Call::new(callers, Method::POST, CHAT).json(&chat_body("hello", 4)),
             Self::UnknownPath => call(Method::POST, "/v2/nothing"),
             Self::UnknownMethod => call(Method::DELETE, CHAT),
@@ -100,7 +100,7 @@
 ) -> Result<()> {
     let deployment = Fixture::single().start().await?;
     let call = rejection.request(&deployment.caller_address("entry-1")?);
-    let answer = call.text().await?;
+    let answer = call.fetch().await?;
     assert_refused(&answer, status, reason);
     assert_eq!(count_received(&deployment).await?, 0);
     Ok(())
@@ -110,9 +110,9 @@
 async fn refuses_a_model_that_no_engine_has() -> Result<()> {
     let deployment = Fixture::single().start().await?;
     let call = Rejection::UnknownModel.request(&deployment.caller_address("entry-1")?);
-    let answer = call.text().await?;
+    let answer = call.fetch().await?;
     assert!(!answer.status.is_success(), "{}", answer.text);
-    assert_eq!(answer.run(), "not-run", "{}", answer.text);
+    assert_eq!(answer.run_state(), "not-run", "{}", answer.text);
     assert_eq!(count_received(&deployment).await?, 0);
     Ok(())
 }
@@ -125,14 +125,18 @@
             .set_controls(name, &json!({"hold": true}))
             .await?;
     }
-    let first = deployment.chat("entry-1", "first", 4)?.key(SMALL_KEY);
-    let first = tokio::spawn(first.text());
+    let first = deployment
+        .chat("entry-1", "first", 4)?
+        .bearer_key(SMALL_KEY);
+    let first = tokio::spawn(first.fetch());
     dottereltally_testutils::wait::eventually("the first request reaches an engine", async || {
         (count_received(&deployment).await.ok()? == 1).then_some(())
     })
     .await?;
-    let second = deployment.chat("entry-1", "second", 4)?.key(SMALL_KEY);
-    assert_refused(&second.text().await?, 429, "limit");
+    let second = deployment
+        .chat("entry-1", "second", 4)?
+        .bearer_key(SMALL_KEY);
+    assert_refused(&second.fetch().await?, 429, "limit");
     assert_eq!(count_received(&deployment).await?, 1);
     for name in ["tally-1", "tally-2"] {
         deployment
@@ -153,9 +157,9 @@
             .await?;
     }
     let call = deployment.chat("entry-1", "hello", 4)?;
-    let answer = call.header("dottereltally-deadline", "2s").text().await?;
+    let answer = call.header("dottereltally-deadline", "2s").fetch().await?;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert_eq!(answer.run(), "not-run", "{}", answer.text);
+    assert_eq!(answer.run_state(), "not-run", "{}", answer.text);
     assert_eq!(count_received(&deployment).await?, 0);
     Ok(())
 }
@@ -175,19 +179,19 @@
     let mut filling = Vec::new();
     for number in 0..6 {
         let call = deployment.chat("entry-1", &long_prompt("first", number), 4)?;
-        filling.push(tokio::spawn(call.text()));
+        filling.push(tokio::spawn(call.fetch()));
     }
     deployment.wait_for_count("tally-1", "received", 4).await?;
     let mut waiting = Vec::new();
     for number in 0..20 {
         let call = deployment.chat("entry-1", &long_prompt("late", number), 4)?;
         let call = call.header("dottereltally-deadline", "2s");
-        waiting.push(tokio::spawn(call.text()));
+        waiting.push(tokio::spawn(call.fetch()));
     }
     for call in waiting {
         let answer = call.await??;
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-        assert_eq!(answer.run(), "not-run", "{}", answer.text);
+        assert_eq!(answer.run_state(), "not-run", "{}", answer.text);
     }
     let seen = deployment.counts("tally-1").await?.to_string();
     for number in 0..20 {
--- a/node/tests/test_outage.rs
+++ b/node/tests/test_outage.rs
@@ -43,7 +43,7 @@
     for number in 0..REQUESTS {
         for node in nodes {
             let prompt = format!("{node} {number}");
-            let answer = deployment.chat(node, &prompt, 4)?.text().await?;
+            let answer = deployment.chat(node, &prompt, 4)?.fetch().await?;
             assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
             assert_eq!(answer.content(), format::text(&prompt, 4));
         }
@@ -69,7 +69,12 @@
     let restored = json!({"down": false, "silent": "none", "slow_ms": 0});
     outage.set(&deployment, &restored).await?;
     eventually("payments are accepted again", async || {
-        let answer = deployment.pay("entry-1", "after").ok()?.text().await.ok()?;
+        let answer = deployment
+            .pay("entry-1", "after")
+            .ok()?
+            .fetch()
+            .await
+            .ok()?;
         answer.status.is_success().then_some(())
     })
     .await?;
@@ -86,9 +91,9 @@
         .set(&deployment, &json!({"down": true}))
         .await?;
     deployment.add_node("entry-3", "plovdiv").await?;
-    let early = deployment.chat("entry-3", "early", 2)?.text().await?;
+    let early = deployment.chat("entry-3", "early", 2)?.fetch().await?;
     if early.status != StatusCode::OK {
-        assert_eq!(early.run(), "not-run", "{}", early.text);
+        assert_eq!(early.run_state(), "not-run", "{}", early.text);
     }
     Outage::Both
         .set(&deployment, &json!({"down": false}))
@@ -123,7 +128,7 @@
             .set_controls(name, &json!({"hold": true}))
             .await?;
     }
-    let running = tokio::spawn(deployment.chat("entry-1", "long", 50)?.text());
+    let running = tokio::spawn(deployment.chat("entry-1", "long", 50)?.fetch());
     eventually("the stream runs", async || {
         let mut running = 0;
         for name in ["tally-1", "tally-2"] {
--- a/node/tests/test_path.rs
+++ b/node/tests/test_path.rs
@@ -17,7 +17,7 @@
 async fn streams_a_completion(#[case] version: Version) -> Result<()> {
     let deployment = Fixture::default().start().await?;
     let answer = deployment.chat("entry-1", "hello", 12)?;
-    let answer = answer.version(version).text().await?;
+    let answer = answer.version(version).fetch().await?;
     assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
     assert!(answer.is_done(), "{}", answer.text);
     assert_eq!(answer.content(), format::text("hello", 12));
@@ -32,7 +32,7 @@
     body["stream"] = json!(false);
     body["model"] = json!(MODELS[1]);
     let call = deployment.call("entry-2", Method::POST, "/v1/chat/completions")?;
-    let answer = call.json(&body).text().await?;
+    let answer = call.json(&body).fetch().await?;
     assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
     assert_eq!(answer.content(), format::text("hello", 7));
     assert_eq!(answer.json()["usage"]["completion_tokens"], 7);
@@ -43,7 +43,7 @@
 async fn forwards_plain_calls() -> Result<()> {
     let deployment = Fixture::default().start().await?;
     let call = deployment.call("entry-2", Method::GET, "/tickets/17")?;
-    let answer = call.text().await?;
+    let answer = call.fetch().await?;
     assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
     assert_eq!(answer.json()["path"], "/tickets/17");
     Ok(())
@@ -52,9 +52,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn runs_a_payment_once_through_two_nodes() -> Result<()> {
     let deployment = Fixture::default().start().await?;
-    let first = deployment.pay("entry-1", "release-1")?.text().await?;
+    let first = deployment.pay("entry-1", "release-1")?.fetch().await?;
     assert_eq!(first.status, StatusCode::OK, "{}", first.text);
-    let second = deployment.pay("entry-2", "release-1")?.text().await?;
+    let second = deployment.pay("entry-2", "release-1")?.fetch().await?;
     assert_eq!(second.status, StatusCode::OK, "{}", second.text);
     assert_eq!(first.text, second.text);
     assert_eq!(deployment.payment_runs("release-1").await?, 1);
@@ -72,7 +72,7 @@
     deployment.set_controls("tally-1", &slow).await?;
     let call = deployment.chat("entry-1", "hello", 1_000)?;
     let mut answer = call.send().await?;
-    assert!(answer.piece().await?.is_some());
+    assert!(answer.next_chunk().await?.is_some());
     drop(answer);
     deployment.wait_for_count("tally-1", "cancelled", 1).await?;
     let counts = deployment.counts("tally-1").await?;
--- a/node/tests/test_random.rs
+++ b/node/tests/test_random.rs
@@ -13,7 +13,7 @@
 };
 
 use dottereltally_testutils::{
-    client::{self, Call, Whole},
+    client::{self, Call, Response},
     deployment::Deployment,
     engine::format,
     fixture::{DEMO_KEY, Fixture, chat_body},
@@ -64,7 +64,7 @@
 
     /// Returns how often the payment service ran a payment.
     async fn payment_runs(&self, key: &str) -> Result<u64> {
-        let page = client::control(&self.ledger_control).await?;
+        let page = client::control_page(&self.ledger_control).await?;
         Ok(page["counts"]["by_key"][key].as_u64().unwrap_or(0))
     }
 
@@ -99,17 +99,17 @@
 async fn pay_until_answered(shared: &Shared, key: &str, rng: &mut SmallRng) -> Result<bool> {
     for _ in 0..MAX_ATTEMPTS {
         let call = Call::new(&shared.random_node(rng), Method::POST, "/payments")
-            .key(DEMO_KEY)
+            .bearer_key(DEMO_KEY)
             .header("idempotency-key", key)
             .json(&json!({"payment": key}));
-        let Ok(answer) = call.text().await else {
+        let Ok(answer) = call.fetch().await else {
             continue;
         };
         if answer.status.is_success() {
             ensure!(answer.json()["run"] == 1, "{key}: {}", answer.text);
             return Ok(true);
         }
-        if answer.run() == "not-run" {
+        if answer.run_state() == "not-run" {
             let runs = shared.payment_runs(key).await?;
             ensure!(runs == 0, "{key} ran: {}", answer.text);
         }
@@ -133,9 +133,9 @@
             Method::POST,
             "/v1/chat/completions",
         )
-        .key(DEMO_KEY)
+        .bearer_key(DEMO_KEY)
         .json(&chat_body(&prompt, tokens));
-        if let Ok(answer) = call.text().await {
+        if let Ok(answer) = call.fetch().await {
             complete += u64::from(is_complete(&answer, &prompt, tokens)?);
         }
     }
@@ -146,9 +146,9 @@
 ///
 /// Fails if a complete answer does not belong to the prompt, or if an incomplete
 /// one is not reported as such.
-fn is_complete(answer: &Whole, prompt: &str, tokens: u64) -> Result<bool> {
+fn is_complete(answer: &Response, prompt: &str, tokens: u64) -> Result<bool> {
     if answer.status != StatusCode::OK || !answer.is_done() {
-        let reported = answer.text.contains("\"error\"") || !answer.run().is_empty();
+        let reported = answer.text.contains("\"error\"") || !answer.run_state().is_empty();
         ensure!(reported, "{prompt}: {}", answer.text);
         return Ok(false);
     }
@@ -298,7 +298,7 @@
     for node in NODES {
         let key = format!("after-{node}");
         eventually("a payment is answered", async || {
-            let answer = deployment.pay(node, &key).ok()?.text().await.ok()?;
+            let answer = deployment.pay(node, &key).ok()?.fetch().await.ok()?;
             answer.status.is_success().then_some(())
         })
         .await?;
--- a/node/tests/test_shutdown.rs
+++ b/node/tests/test_shutdown.rs
@@ -1,7 +1,8 @@
 //! A graceful shutdown lets every request in flight finish.
 
 use dottereltally_testutils::{
-    client::Answer, deployment::Deployment, engine::format, fixture::Fixture, wait::eventually,
+    client::ResponseStream, deployment::Deployment, engine::format, fixture::Fixture,
+    wait::eventually,
 };
 use eyre::Result;
 use http::{Method, StatusCode};
@@ -31,13 +32,13 @@
 }
 
 /// Starts a stream and reads its first piece.
-async fn start_stream(deployment: &Deployment, node: &str, prompt: &str) -> Result<Answer> {
+async fn start_stream(deployment: &Deployment, node: &str, prompt: &str) -> Result<ResponseStream> {
     let mut answer = deployment
         .chat(node, prompt, TOKENS_PER_STREAM)?
         .send()
         .await?;
     assert_eq!(answer.status, StatusCode::OK);
-    assert!(answer.piece().await?.is_some());
+    assert!(answer.next_chunk().await?.is_some());
     Ok(answer)
 }
 
@@ -50,7 +51,7 @@
         for number in 0..STREAM_COUNT {
             let prompt = format!("{node} {number}");
             let call = deployment.chat(node, &prompt, TOKENS_PER_STREAM)?;
-            calls.push((prompt, tokio::spawn(call.text())));
+            calls.push((prompt, tokio::spawn(call.fetch())));
         }
         eventually("the streams run", async || {
             let mut running = 0;
@@ -86,18 +87,18 @@
     let operations = deployment.operations_address("entry-1")?;
     eventually("the node is not ready", async || {
         let call = dottereltally_testutils::client::Call::new(&operations, Method::GET, "/readyz");
-        let answer = call.text().await.ok()?;
+        let answer = call.fetch().await.ok()?;
         (answer.status == StatusCode::SERVICE_UNAVAILABLE).then_some(())
     })
     .await?;
-    if let Ok(answer) = deployment.chat("entry-1", "late", 2)?.text().await {
+    if let Ok(answer) = deployment.chat("entry-1", "late", 2)?.fetch().await {
         if answer.status == StatusCode::OK {
             assert_eq!(answer.content(), format::text("late", 2));
         } else {
-            assert_eq!(answer.run(), "not-run", "{}", answer.text);
+            assert_eq!(answer.run_state(), "not-run", "{}", answer.text);
         }
     }
-    assert!(running.whole().await?.is_done());
+    assert!(running.read_to_end().await?.is_done());
     let status = deployment.node_process("entry-1")?.wait().await?;
     assert!(status.success(), "{status}");
     Ok(())
@@ -111,7 +112,7 @@
     deployment
         .set_controls("ledger-1", &json!({"hold": true}))
         .await?;
-    let payment = tokio::spawn(deployment.pay("entry-1", "release-1")?.text());
+    let payment = tokio::spawn(deployment.pay("entry-1", "release-1")?.fetch());
     deployment.wait_for_count("ledger-1", "running", 1).await?;
     deployment
         .node_process("entry-1")?
@@ -119,7 +120,7 @@
     let operations = deployment.operations_address("entry-1")?;
     eventually("the node is not ready", async || {
         let call = dottereltally_testutils::client::Call::new(&operations, Method::GET, "/readyz");
-        let answer = call.text().await.ok()?;
+        let answer = call.fetch().await.ok()?;
         (answer.status == StatusCode::SERVICE_UNAVAILABLE).then_some(())
     })
     .await?;
@@ -130,9 +131,9 @@
     assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
     let status = deployment.node_process("entry-1")?.wait().await?;
     assert!(status.success(), "{status}");
-    let again = deployment.pay("entry-2", "release-1")?.text().await?;
+    let again = deployment.pay("entry-2", "release-1")?.fetch().await?;
     if !again.status.is_success() {
-        assert_eq!(again.run(), "may-have-run", "{}", again.text);
+        assert_eq!(again.run_state(), "may-have-run", "{}", again.text);
     }
     assert_eq!(deployment.payment_runs("release-1").await?, 1);
     Ok(())
--- a/node/tests/test_silence.rs
+++ b/node/tests/test_silence.rs
@@ -1,7 +1,7 @@
 //! Connections that stay open but go silent for good, while new ones work.
 
 use dottereltally_testutils::{
-    client::Whole, deployment::Deployment, engine::format, fixture::Fixture, wait::eventually,
+    client::Response, deployment::Deployment, engine::format, fixture::Fixture, wait::eventually,
 };
 use eyre::Result;
 use http::StatusCode;
@@ -21,8 +21,8 @@
     fixture.start().await
 }
 
-async fn chat(deployment: &Deployment, prompt: &str) -> Result<Whole> {
-    deployment.chat("entry-1", prompt, 4)?.text().await
+async fn chat(deployment: &Deployment, prompt: &str) -> Result<Response> {
+    deployment.chat("entry-1", prompt, 4)?.fetch().await
 }
 
 /// A stream whose connection falls silent ends with an error, and the engine
@@ -33,11 +33,11 @@
     let slow = json!({"decode_ms": 20.0});
     deployment.set_controls("tally-1", &slow).await?;
     let mut answer = deployment.chat("entry-1", "long", 1_000)?.send().await?;
-    answer.piece().await?;
+    answer.next_chunk().await?;
     let silent = json!({"silent": "existing", "decode_ms": 2.0});
     deployment.set_controls("tally-1", &silent).await?;
     let mut text = String::new();
-    while let Ok(Some(piece)) = answer.piece().await {
+    while let Ok(Some(piece)) = answer.next_chunk().await {
         text.push_str(&piece);
     }
     assert!(!text.contains("[DONE]"));
@@ -73,7 +73,7 @@
             served += 1;
             continue;
         }
-        let refused = answer.run() == "not-run";
+        let refused = answer.run_state() == "not-run";
         let counts = deployment.counts("tally-1").await?.to_string();
         let ran = counts.contains(&format::digest(&prompt));
         assert!(!(refused && ran), "{}", answer.text);
@@ -112,14 +112,14 @@
     deployment
         .set_controls("ledger-1", &json!({"hold": true}))
         .await?;
-    let first = tokio::spawn(deployment.pay("entry-1", "release-1")?.text());
+    let first = tokio::spawn(deployment.pay("entry-1", "release-1")?.fetch());
     deployment.wait_for_count("ledger-1", "running", 1).await?;
     let silent = json!({"silent": silence, "hold": false});
     deployment.set_controls("ledger-1", &silent).await?;
     let first = first.await??;
-    assert_eq!(first.run(), "may-have-run", "{}", first.text);
-    let second = deployment.pay("entry-2", "release-1")?.text().await?;
-    assert_eq!(second.run(), "may-have-run", "{}", second.text);
+    assert_eq!(first.run_state(), "may-have-run", "{}", first.text);
+    let second = deployment.pay("entry-2", "release-1")?.fetch().await?;
+    assert_eq!(second.run_state(), "may-have-run", "{}", second.text);
     assert_eq!(deployment.payment_runs("release-1").await?, 1);
     Ok(())
 }
--- a/node/tests/test_tiers.rs
+++ b/node/tests/test_tiers.rs
@@ -2,7 +2,7 @@
 //! lowest are shed.
 
 use dottereltally_testutils::{
-    client::Whole,
+    client::Response,
     deployment::Deployment,
     engine::format,
     fixture::{Fixture, MODELS, chat_body},
@@ -24,7 +24,7 @@
 const PREFILL_TOKENS_PER_SECOND: f64 = 24_000.0;
 
 /// Prompts and the requests that carry them.
-type Calls = Vec<(String, JoinHandle<Result<Whole>>)>;
+type Calls = Vec<(String, JoinHandle<Result<Response>>)>;
 
 fn send(deployment: &Deployment, node: &str, tier: &str, count: usize) -> Result<Calls> {
     let mut calls = Vec::new();
@@ -37,7 +37,7 @@
             .header("dottereltally-tier", tier)
             .header("dottereltally-deadline", "8s")
             .json(&body);
-        calls.push((prompt, tokio::spawn(call.text())));
+        calls.push((prompt, tokio::spawn(call.fetch())));
     }
     Ok(calls)
 }
@@ -77,7 +77,7 @@
             assert_eq!(answer.content(), format::text(&prompt, 2));
             continue;
         }
-        assert!(!answer.run().is_empty(), "{}", answer.text);
+        assert!(!answer.run_state().is_empty(), "{}", answer.text);
         shed += 1;
     }
     assert!(shed > 0, "there was no overload");
--- a/node/tests/test_whole.rs
+++ b/node/tests/test_whole.rs
@@ -30,7 +30,7 @@
     let mut answer = deployment.chat("entry-1", "hello", 8)?.send().await?;
     let mut text = String::new();
     let end = loop {
-        match answer.piece().await {
+        match answer.next_chunk().await {
             Ok(Some(piece)) => text.push_str(&piece),
             end => break end,
         }
@@ -49,9 +49,9 @@
     let mut body = chat_body("hello", 8);
     body["stream"] = json!(false);
     let call = deployment.call("entry-1", Method::POST, "/v1/chat/completions")?;
-    let answer = call.json(&body).text().await?;
+    let answer = call.json(&body).fetch().await?;
     assert_eq!(answer.status, StatusCode::BAD_GATEWAY, "{}", answer.text);
-    assert_eq!(answer.run(), "may-have-run");
+    assert_eq!(answer.run_state(), "may-have-run");
     Ok(())
 }
 
@@ -61,9 +61,9 @@
     deployment
         .set_controls("tally-1", &json!({"wrong_echo": true}))
         .await?;
-    let answer = deployment.chat("entry-1", "hello", 8)?.text().await?;
+    let answer = deployment.chat("entry-1", "hello", 8)?.fetch().await?;
     assert_eq!(answer.status, StatusCode::BAD_GATEWAY, "{}", answer.text);
-    assert_eq!(answer.run(), "may-have-run");
+    assert_eq!(answer.run_state(), "may-have-run");
     assert!(!answer.text.contains(&format::digest("hello")));
     Ok(())
 }
@@ -78,14 +78,14 @@
         for number in 0..CALLER_COUNT {
             let prompt = format!("left {round} {number}");
             let mut answer = deployment.chat("entry-1", &prompt, 500)?.send().await?;
-            answer.piece().await?;
+            answer.next_chunk().await?;
             cancelled.push(answer);
         }
         let mut calls = Vec::new();
         for number in 0..CALLER_COUNT {
             let prompt = format!("stayed {round} {number}");
             let call = deployment.chat("entry-1", &prompt, 16)?;
-            calls.push((prompt, tokio::spawn(call.text())));
+            calls.push((prompt, tokio::spawn(call.fetch())));
             cancelled.pop();
         }
         for (prompt, call) in calls {
--- a/testutils/examples/demo.rs
+++ b/testutils/examples/demo.rs
@@ -3,7 +3,7 @@
 //! platform.
 
 use dottereltally_testutils::{
-    client::{Call, Whole},
+    client::{Call, Response},
     deployment::Deployment,
 };
 use eyre::{Result, ensure};
@@ -77,7 +77,7 @@
     let mut response = call.json(&body).send().await?;
     let status = response.status;
     let mut text = String::new();
-    while let Some(chunk) = response.piece().await? {
+    while let Some(chunk) = response.next_chunk().await? {
         print!("{chunk}");
         text.push_str(&chunk);
     }
@@ -91,7 +91,7 @@
 /// Reads a ticket through the node of the other data centre.
 async fn read_ticket(deployment: &Deployment) -> Result<()> {
     let call = call(deployment, "entry-3", Method::GET, "/tickets/17")?;
-    let response = call.text().await?;
+    let response = call.fetch().await?;
     println!("GET /tickets/17: {} {}", response.status, response.text);
     ensure!(response.status.is_success(), "reading the ticket failed");
     Ok(())
@@ -118,16 +118,16 @@
     Ok(())
 }
 
-async fn pay(deployment: &Deployment, node: &str) -> Result<Whole> {
+async fn pay(deployment: &Deployment, node: &str) -> Result<Response> {
     let call = call(deployment, node, Method::POST, "/payments")?;
     call.header("idempotency-key", PAYMENT_KEY)
         .json(&json!({"ticket": 17, "amount": 120}))
-        .text()
+        .fetch()
         .await
 }
 
 fn call(deployment: &Deployment, node: &str, method: Method, path: &str) -> Result<Call> {
-    Ok(Call::new(&deployment.caller_address(node)?, method, path).key(KEY))
+    Ok(Call::new(&deployment.caller_address(node)?, method, path).bearer_key(KEY))
 }
 
 fn print_addresses(deployment: &Deployment) -> Result<()> {
--- a/testutils/src/client.rs
+++ b/testutils/src/client.rs
@@ -67,7 +67,7 @@
 
     /// Sets the bearer key of the `authorization` header.
     #[must_use]
-    pub fn key(self, key: &str) -> Self {
+    pub fn bearer_key(self, key: &str) -> Self {
         self.header("authorization", &format!("Bearer {key}"))
     }
 
@@ -90,7 +90,7 @@
     /// # Errors
     ///
     /// Fails if the connection fails or no head arrives within a minute.
-    pub async fn send(self) -> Result<Answer> {
+    pub async fn send(self) -> Result<ResponseStream> {
         let mut request = Request::builder()
             .method(self.method.clone())
             .uri(match self.version {
@@ -110,7 +110,7 @@
         }
     }
 
-    async fn exchange(self, request: Request<Full<Bytes>>) -> Result<Answer> {
+    async fn exchange(self, request: Request<Full<Bytes>>) -> Result<ResponseStream> {
         let stream = TcpStream::connect(&self.address).await?;
         stream.set_nodelay(true)?;
         let io = TokioIo::new(stream);
@@ -127,7 +127,7 @@
             }
         };
         let (head, body) = response.into_parts();
-        Ok(Answer {
+        Ok(ResponseStream {
             status: head.status,
             headers: head.headers,
             body,
@@ -140,8 +140,8 @@
     /// # Errors
     ///
     /// Fails if the connection fails or stalls before the end.
-    pub async fn text(self) -> Result<Whole> {
-        self.send().await?.whole().await
+    pub async fn fetch(self) -> Result<Response> {
+        self.send().await?.read_to_end().await
     }
 }
 
@@ -158,7 +158,7 @@
 /// A response whose body is read chunk by chunk; dropping it closes the
 /// connection.
 #[derive(Debug)]
-pub struct Answer {
+pub struct ResponseStream {
     /// Status code.
     pub status: StatusCode,
     /// Headers.
@@ -167,13 +167,13 @@
     _connection: AbortOnDrop,
 }
 
-impl Answer {
+impl ResponseStream {
     /// Waits for the next chunk of the body; returns `None` at its end.
     ///
     /// # Errors
     ///
     /// Fails if the connection breaks or carries nothing for a minute.
-    pub async fn piece(&mut self) -> Result<Option<String>> {
+    pub async fn next_chunk(&mut self) -> Result<Option<String>> {
         loop {
             let Some(frame) = timeout(TIMEOUT, self.body.frame())
                 .await
@@ -192,12 +192,12 @@
     /// # Errors
     ///
     /// Fails if the connection breaks or stalls before the end.
-    pub async fn whole(mut self) -> Result<Whole> {
+    pub async fn read_to_end(mut self) -> Result<Response> {
         let mut text = String::new();
-        while let Some(chunk) = self.piece().await? {
+        while let Some(chunk) = self.next_chunk().await? {
             text.push_str(&chunk);
         }
-        Ok(Whole {
+        Ok(Response {
             status: self.status,
             headers: self.headers,
             text,
@@ -207,7 +207,7 @@
 
 /// A response that was read to its end.
 #[derive(Clone, Debug)]
-pub struct Whole {
+pub struct Response {
     /// Status code.
     pub status: StatusCode,
     /// Headers.
@@ -216,7 +216,7 @@
     pub text: String,
 }
 
-impl Whole {
+impl Response {
     /// Returns the body as JSON; null if it is not JSON.
     #[must_use]
     pub fn json(&self) -> Value {
@@ -226,7 +226,7 @@
     /// Returns the `run` field of an error body, which says whether the request
     /// may have been executed; empty if there is none.
     #[must_use]
-    pub fn run(&self) -> String {
+    pub fn run_state(&self) -> String {
         self.json()["run"].as_str().unwrap_or_default().to_owned()
     }
 
@@ -263,8 +263,8 @@
 /// # Errors
 ///
 /// Fails if the stand-in does not respond.
-pub async fn control(address: &str) -> Result<Value> {
-    let response = Call::new(address, Method::GET, "/control").text().await?;
+pub async fn control_page(address: &str) -> Result<Value> {
+    let response = Call::new(address, Method::GET, "/control").fetch().await?;
     Ok(response.json())
 }
 
@@ -275,7 +275,7 @@
 /// Fails if the stand-in does not respond or rejects them.
 pub async fn set_controls(address: &str, change: &Value) -> Result<()> {
     let call = Call::new(address, Method::PUT, "/control").json(change);
-    let response = call.text().await?;
+    let response = call.fetch().await?;
     if response.status != StatusCode::OK {
         bail!(
             "{address} rejected the controls {change}: {}",
--- a/testutils/src/deployment.rs
+++ b/testutils/src/deployment.rs
@@ -302,7 +302,7 @@
 
     async fn is_ready(&self, name: &str) -> Option<()> {
         let address = self.operations_address(name).ok()?;
-        let response = Call::new(&address, Method::GET, "/readyz").text().await;
+        let response = Call::new(&address, Method::GET, "/readyz").fetch().await;
         response.ok()?.status.is_success().then_some(())
     }
 
@@ -313,7 +313,7 @@
     /// Fails if the node is unknown or does not respond.
     pub async fn status(&self, name: &str) -> Result<Value> {
         let call = Call::new(&self.operations_address(name)?, Method::GET, "/status");
-        Ok(call.text().await?.json())
+        Ok(call.fetch().await?.json())
     }
 
     /// Sets controls of the stand-in `kv`, `hosts` or an endpoint.
@@ -331,7 +331,7 @@
     ///
     /// Fails if the stand-in is unknown or does not respond.
     pub async fn counts(&self, name: &str) -> Result<Value> {
-        let page = client::control(&self.control_address(name)?).await?;
+        let page = client::control_page(&self.control_address(name)?).await?;
         Ok(page["counts"].clone())
     }
 
--- a/testutils/src/fixture.rs
+++ b/testutils/src/fixture.rs
@@ -155,7 +155,7 @@
     ///
     /// Fails if the node is unknown.
     pub fn call(&self, node: &str, method: Method, path: &str) -> Result<Call> {
-        Ok(Call::new(&self.caller_address(node)?, method, path).key(DEMO_KEY))
+        Ok(Call::new(&self.caller_address(node)?, method, path).bearer_key(DEMO_KEY))
     }
 
     /// Prepares a request for a streamed chat completion.
--- a/testutils/tests/test_engine.rs
+++ b/testutils/tests/test_engine.rs
@@ -1,7 +1,7 @@
 //! Tests of the stand-in for a model engine.
 
 use dottereltally_testutils::{
-    client::{self, Call, control},
+    client::{self, Call, control_page},
     engine::{Engine, format},
     server::{self, Addresses},
     wait::eventually,
@@ -29,7 +29,7 @@
 }
 
 async fn counts(engine: &Addresses) -> Result<Value> {
-    Ok(control(&engine.control.to_string()).await?["counts"].clone())
+    Ok(control_page(&engine.control.to_string()).await?["counts"].clone())
 }
 
 async fn set_controls(engine: &Addresses, change: &Value) -> Result<()> {
@@ -42,7 +42,7 @@
 #[tokio::test]
 async fn responses_are_complete(#[case] stream: bool) -> Result<()> {
     let engine = start().await?;
-    let response = chat(&engine, "hello", stream).text().await?;
+    let response = chat(&engine, "hello", stream).fetch().await?;
     assert_eq!(response.content(), format::text("hello", 5));
     assert_eq!(response.is_done(), stream);
     assert_eq!(response.headers["x-request-id"], "n-1");
@@ -55,8 +55,8 @@
 async fn a_shared_prefix_is_computed_once() -> Result<()> {
     let engine = start().await?;
     let prompt = "x".repeat(1024);
-    chat(&engine, &prompt, false).text().await?;
-    let response = chat(&engine, &prompt, false).text().await?;
+    chat(&engine, &prompt, false).fetch().await?;
+    let response = chat(&engine, &prompt, false).fetch().await?;
     let usage = &response.json()["usage"];
     assert_eq!(usage["prompt_tokens"], 256);
     assert_eq!(usage["prompt_tokens_details"]["cached_tokens"], 256);
@@ -65,7 +65,7 @@
     let mut events = Call::new(&address, Method::GET, "/cache/events?from=1")
         .send()
         .await?;
-    let text = events.piece().await?.unwrap_or_default();
+    let text = events.next_chunk().await?.unwrap_or_default();
     assert!(text.starts_with("id: 1\ndata: {\"stored\":"), "{text}");
     assert!(text.contains("id: 4\n"), "{text}");
     Ok(())
@@ -76,7 +76,7 @@
     let engine = start().await?;
     set_controls(&engine, &json!({"decode_ms": 50.0})).await?;
     let mut response = chat(&engine, "hello", true).send().await?;
-    response.piece().await?;
+    response.next_chunk().await?;
     drop(response);
     eventually("the engine drops the request", async || {
         let counts = counts(&engine).await.ok()?;
@@ -98,10 +98,10 @@
 ) -> Result<()> {
     let engine = start().await?;
     set_controls(&engine, &json!({"die": point, "die_next": 1})).await?;
-    let response = chat(&engine, "hello", true).text().await;
+    let response = chat(&engine, "hello", true).fetch().await;
     assert!(response.is_err());
     assert_eq!(counts(&engine).await?["started"], started);
-    let response = chat(&engine, "hello", true).text().await?;
+    let response = chat(&engine, "hello", true).fetch().await?;
     assert!(response.is_done());
     Ok(())
 }
@@ -110,7 +110,7 @@
 async fn ends_a_stream_early_without_an_error() -> Result<()> {
     let engine = start().await?;
     set_controls(&engine, &json!({"cut_next": 1})).await?;
-    let response = chat(&engine, "hello", true).text().await?;
+    let response = chat(&engine, "hello", true).fetch().await?;
     assert!(!response.is_done());
     assert!(!response.content().is_empty());
     Ok(())
@@ -121,13 +121,13 @@
     let engine = start().await?;
     set_controls(&engine, &json!({"decode_ms": 20.0})).await?;
     let mut old = chat(&engine, "hello", true).send().await?;
-    old.piece().await?;
+    old.next_chunk().await?;
     set_controls(&engine, &json!({"silent": "existing"})).await?;
-    assert!(chat(&engine, "new", true).text().await?.is_done());
+    assert!(chat(&engine, "new", true).fetch().await?.is_done());
     tokio::select! {
         biased;
-        rest = old.whole() => assert!(!rest?.is_done()),
-        response = chat(&engine, "newer", true).text() => assert!(response?.is_done()),
+        rest = old.read_to_end() => assert!(!rest?.is_done()),
+        response = chat(&engine, "newer", true).fetch() => assert!(response?.is_done()),
     }
     Ok(())
 }
@@ -137,7 +137,7 @@
     let engine = start().await?;
     set_controls(&engine, &json!({"leaving": true, "models": ["m"]})).await?;
     let address = engine.address.to_string();
-    let load = Call::new(&address, Method::GET, "/load").text().await?;
+    let load = Call::new(&address, Method::GET, "/load").fetch().await?;
     assert_eq!(load.json()["state"], "leaving");
     assert_eq!(load.json()["models"], json!(["m"]));
     Ok(())
@@ -147,12 +147,12 @@
 async fn skipped_events_use_up_their_numbers() -> Result<()> {
     let engine = start().await?;
     set_controls(&engine, &json!({"event_gap_next": 2})).await?;
-    chat(&engine, &"x".repeat(1024), false).text().await?;
+    chat(&engine, &"x".repeat(1024), false).fetch().await?;
     let address = engine.address.to_string();
     let mut events = Call::new(&address, Method::GET, "/cache/events")
         .send()
         .await?;
-    let text = events.piece().await?.unwrap_or_default();
+    let text = events.next_chunk().await?.unwrap_or_default();
     assert!(text.starts_with("id: 3\n"), "{text}");
     Ok(())
 }
--- a/testutils/tests/test_kv.rs
+++ b/testutils/tests/test_kv.rs
@@ -19,7 +19,7 @@
 
 async fn call(kv: &Addresses, path: &str, body: &Value) -> Result<Value> {
     let call = Call::new(&kv.address.to_string(), Method::POST, path).json(body);
-    let response = call.text().await?;
+    let response = call.fetch().await?;
     assert_eq!(response.status, StatusCode::OK, "{}", response.text);
     Ok(response.json())
 }
@@ -142,13 +142,13 @@
     let create = json!({"create_request": {"key": b64("a"), "start_revision": "2"}});
     let watch = Call::new(&kv.address.to_string(), Method::POST, "/v3/watch").json(&create);
     let mut watch = watch.send().await?;
-    let created = watch.piece().await?.unwrap_or_default();
+    let created = watch.next_chunk().await?.unwrap_or_default();
     assert!(created.contains("\"created\":true"), "{created}");
-    let history = watch.piece().await?.unwrap_or_default();
+    let history = watch.next_chunk().await?.unwrap_or_default();
     let history: Value = serde_json::from_str(&history)?;
     assert_eq!(history["result"]["events"][0]["kv"]["value"], b64("1"));
     call(&kv, "/v3/kv/deleterange", &json!({"key": b64("a")})).await?;
-    let update = watch.piece().await?.unwrap_or_default();
+    let update = watch.next_chunk().await?.unwrap_or_default();
     let update: Value = serde_json::from_str(&update)?;
     assert_eq!(update["result"]["events"][0]["type"], "DELETE");
     Ok(())
--- a/testutils/tests/test_plain.rs
+++ b/testutils/tests/test_plain.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use dottereltally_testutils::{
-    client::{Call, control, set_controls},
+    client::{Call, control_page, set_controls},
     host_list::HostList,
     ledger::Ledger,
     server::{self, Addresses},
@@ -25,7 +25,7 @@
 }
 
 async fn counts(ledger: &Addresses) -> Result<Value> {
-    Ok(control(&ledger.control.to_string()).await?["counts"].clone())
+    Ok(control_page(&ledger.control.to_string()).await?["counts"].clone())
 }
 
 #[rstest]
@@ -36,7 +36,7 @@
 async fn counts_executed_requests(#[case] die: &str, #[case] executions: u64) -> Result<()> {
     let ledger = start_ledger().await?;
     set_controls(&ledger.control.to_string(), &json!({"die": die})).await?;
-    let response = pay(&ledger).text().await;
+    let response = pay(&ledger).fetch().await;
     assert_eq!(response.is_ok(), die == "none");
     let counts = counts(&ledger).await?;
     assert_eq!(counts["total"], executions);
@@ -53,7 +53,7 @@
     let ledger = start_ledger().await?;
     let control = ledger.control.to_string();
     set_controls(&control, &json!({"hold": true})).await?;
-    let response = tokio::spawn(pay(&ledger).text());
+    let response = tokio::spawn(pay(&ledger).fetch());
     eventually("the ledger executes the payment", async || {
         (counts(&ledger).await.ok()?["running"] == 1).then_some(())
     })
@@ -68,7 +68,7 @@
     let hosts = server::start(Arc::<HostList>::default(), "127.0.0.1:0".parse()?).await?;
     let control = hosts.control.to_string();
     let address = hosts.address.to_string();
-    let read = async || Call::new(&address, Method::GET, "/hosts").text().await;
+    let read = async || Call::new(&address, Method::GET, "/hosts").fetch().await;
     set_controls(&control, &json!({"groups": [{"targets": ["1"]}]})).await?;
     assert_eq!(read().await?.json(), json!([{"targets": ["1"]}]));
     set_controls(&control, &json!({"groups": [], "lag_ms": 200})).await?;
