--- a/node/tests/test_crash.rs
+++ b/node/tests/test_crash.rs
@@ -70,7 +70,7 @@
     assert_eq!(crashed(&mut deployment)?, crashes);
     let harmless = deployment.chat("entry-1", "harmless", 4)?.fetch().await?;
     assert_eq!(harmless.status, StatusCode::OK, "{}", harmless.text);
-    assert_eq!(harmless.content(), format::text("harmless", 4));
+    assert_eq!(harmless.content(), format::completion_text("harmless", 4));
     Ok(())
 }
 
@@ -105,7 +105,7 @@
         eventually("a harmless request is served", async || {
             let answer = deployment.chat("entry-1", &prompt, 40).ok()?;
             let answer = answer.fetch().await.ok()?;
-            (answer.content() == format::text(&prompt, 40)).then_some(())
+            (answer.content() == format::completion_text(&prompt, 40)).then_some(())
         })
         .await?;
     }
--- a/node/tests/test_dispatch.rs
+++ b/node/tests/test_dispatch.rs
@@ -92,7 +92,7 @@
         let prompt = format!("request {number}");
         let answer = deployment.chat("entry-1", &prompt, 4)?.fetch().await?;
         assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
-        assert_eq!(answer.content(), format::text(&prompt, 4));
+        assert_eq!(answer.content(), format::completion_text(&prompt, 4));
         assert_eq!(count_received(&deployment, &prompt).await?, 1);
     }
     Ok(())
@@ -111,7 +111,7 @@
         let prompt = format!("request {number}");
         let answer = deployment.chat("entry-1", &prompt, 4)?.fetch().await?;
         if answer.status == StatusCode::OK {
-            assert_eq!(answer.content(), format::text(&prompt, 4));
+            assert_eq!(answer.content(), format::completion_text(&prompt, 4));
         }
         if answer.run_state() == "not-run" {
             assert_eq!(count_received(&deployment, &prompt).await?, 0);
--- a/node/tests/test_leaving.rs
+++ b/node/tests/test_leaving.rs
@@ -23,7 +23,7 @@
             let prompt = format!("{round} {node} {number}");
             let answer = deployment.chat(node, &prompt, 2)?.fetch().await?;
             assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
-            assert_eq!(answer.content(), format::text(&prompt, 2));
+            assert_eq!(answer.content(), format::completion_text(&prompt, 2));
         }
     }
     Ok(())
@@ -91,6 +91,6 @@
         .await?;
     let answer = running.await??;
     assert!(answer.is_done(), "{}", answer.text);
-    assert_eq!(answer.content(), format::text("long", 200));
+    assert_eq!(answer.content(), format::completion_text("long", 200));
     Ok(())
 }
--- a/node/tests/test_outage.rs
+++ b/node/tests/test_outage.rs
@@ -45,7 +45,7 @@
             let prompt = format!("{node} {number}");
             let answer = deployment.chat(node, &prompt, 4)?.fetch().await?;
             assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
-            assert_eq!(answer.content(), format::text(&prompt, 4));
+            assert_eq!(answer.content(), format::completion_text(&prompt, 4));
         }
     }
     Ok(())
--- a/node/tests/test_path.rs
+++ b/node/tests/test_path.rs
@@ -20,7 +20,7 @@
     let answer = answer.version(version).fetch().await?;
     assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
     assert!(answer.is_done(), "{}", answer.text);
-    assert_eq!(answer.content(), format::text("hello", 12));
+    assert_eq!(answer.content(), format::completion_text("hello", 12));
     assert!(answer.headers.contains_key("dottereltally-request"));
     Ok(())
 }
@@ -34,7 +34,7 @@
     let call = deployment.call("entry-2", Method::POST, "/v1/chat/completions")?;
     let answer = call.json(&body).fetch().await?;
     assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
-    assert_eq!(answer.content(), format::text("hello", 7));
+    assert_eq!(answer.content(), format::completion_text("hello", 7));
     assert_eq!(answer.json()["usage"]["completion_tokens"], 7);
     Ok(())
 }
--- a/node/tests/test_random.rs
+++ b/node/tests/test_random.rs
@@ -154,7 +154,7 @@
     }
     let content = answer.content();
     ensure!(
-        content == format::text(prompt, tokens),
+        content == format::completion_text(prompt, tokens),
         "{prompt}: {content}"
     );
     Ok(true)
--- a/node/tests/test_shutdown.rs
+++ b/node/tests/test_shutdown.rs
@@ -67,7 +67,10 @@
             let answer = call.await??;
             assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
             assert!(answer.is_done(), "{node}: {prompt} was cut");
-            assert_eq!(answer.content(), format::text(&prompt, TOKENS_PER_STREAM));
+            assert_eq!(
+                answer.content(),
+                format::completion_text(&prompt, TOKENS_PER_STREAM)
+            );
         }
         let status = deployment.node_process(node)?.wait().await?;
         assert!(status.success(), "{node} ended with {status}");
@@ -93,7 +96,7 @@
     .await?;
     if let Ok(answer) = deployment.chat("entry-1", "late", 2)?.fetch().await {
         if answer.status == StatusCode::OK {
-            assert_eq!(answer.content(), format::text("late", 2));
+            assert_eq!(answer.content(), format::completion_text("late", 2));
         } else {
             assert_eq!(answer.run_state(), "not-run", "{}", answer.text);
         }
--- a/node/tests/test_silence.rs
+++ b/node/tests/test_silence.rs
@@ -46,7 +46,7 @@
         let prompt = format!("after {number}");
         eventually("a request is served", async || {
             let answer = chat(&deployment, &prompt).await.ok()?;
-            (answer.content() == format::text(&prompt, 4)).then_some(())
+            (answer.content() == format::completion_text(&prompt, 4)).then_some(())
         })
         .await?;
     }
@@ -69,7 +69,7 @@
         let prompt = format!("after {number}");
         let answer = chat(&deployment, &prompt).await?;
         if answer.status == StatusCode::OK {
-            assert_eq!(answer.content(), format::text(&prompt, 4));
+            assert_eq!(answer.content(), format::completion_text(&prompt, 4));
             served += 1;
             continue;
         }
@@ -93,7 +93,7 @@
         for number in 0..REQUEST_COUNT {
             let prompt = format!("probe {number}");
             let answer = chat(&deployment, &prompt).await.ok()?;
-            if answer.content() != format::text(&prompt, 4) {
+            if answer.content() != format::completion_text(&prompt, 4) {
                 return None;
             }
         }
--- a/node/tests/test_tiers.rs
+++ b/node/tests/test_tiers.rs
@@ -64,7 +64,7 @@
             .await?
             .wrap_err("the answer to an urgent request was cut short")?;
         assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
-        assert_eq!(answer.content(), format::text(&prompt, 2));
+        assert_eq!(answer.content(), format::completion_text(&prompt, 2));
     }
     let mut shed = 0;
     for (prompt, call) in routine_calls {
@@ -74,7 +74,7 @@
             continue;
         };
         if answer.status == StatusCode::OK {
-            assert_eq!(answer.content(), format::text(&prompt, 2));
+            assert_eq!(answer.content(), format::completion_text(&prompt, 2));
             continue;
         }
         assert!(!answer.run_state().is_empty(), "{}", answer.text);
--- a/node/tests/test_whole.rs
+++ b/node/tests/test_whole.rs
@@ -92,7 +92,7 @@
             let answer = call.await??;
             assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
             assert!(answer.is_done());
-            assert_eq!(answer.content(), format::text(&prompt, 16));
+            assert_eq!(answer.content(), format::completion_text(&prompt, 16));
         }
     }
     Ok(())
--- a/testutils/src/engine/format.rs
+++ b/testutils/src/engine/format.rs
@@ -105,7 +105,7 @@
 
 /// Returns the text with which a prompt is completed.
 #[must_use]
-pub fn text(prompt: &str, tokens: u64) -> String {
+pub fn completion_text(prompt: &str, tokens: u64) -> String {
     let digest = digest(prompt);
     let mut text = String::new();
     for number in 0..tokens {
--- a/testutils/tests/test_engine.rs
+++ b/testutils/tests/test_engine.rs
@@ -43,7 +43,7 @@
 async fn responses_are_complete(#[case] stream: bool) -> Result<()> {
     let engine = start().await?;
     let response = chat(&engine, "hello", stream).fetch().await?;
-    assert_eq!(response.content(), format::text("hello", 5));
+    assert_eq!(response.content(), format::completion_text("hello", 5));
     assert_eq!(response.is_done(), stream);
     assert_eq!(response.headers["x-request-id"], "n-1");
     let load = response.headers["endpoint-load-metrics"].to_str()?;
