--- a/testutils/examples/demo.rs
+++ b/testutils/examples/demo.rs
@@ -1,6 +1,6 @@
 //! Demonstrates the complete system on one machine: three nodes in two data
 //! centres in front of stand-ins for the engines, the plain service and the
-//! platform.
+//! platform, that is the key-value service and the host list.
 
 use dottereltally_testutils::{
     client::{Call, Response},
@@ -14,7 +14,7 @@
 /// The operators' configuration that is applied.
 const CONFIGURATION: &str = include_str!("../../examples/demo.yaml");
 /// Bearer key of the workspace in the configuration.
-const KEY: &str = "demo-key";
+const BEARER_KEY: &str = "demo-key";
 /// Idempotency key of the payment.
 const PAYMENT_KEY: &str = "release-1";
 
@@ -41,6 +41,7 @@
     Ok(())
 }
 
+/// Starts the programs and applies the configuration.
 async fn deploy() -> Result<Deployment> {
     let mut deployment = Deployment::start().await?;
     let models = ["tally-7b", "disputes"];
@@ -127,9 +128,10 @@
 }
 
 fn call(deployment: &Deployment, node: &str, method: Method, path: &str) -> Result<Call> {
-    Ok(Call::new(&deployment.caller_address(node)?, method, path).bearer_key(KEY))
+    Ok(Call::new(&deployment.caller_address(node)?, method, path).bearer_key(BEARER_KEY))
 }
 
+/// Prints the addresses, and the environment variables for `dottereltallyctl`.
 fn print_addresses(deployment: &Deployment) -> Result<()> {
     for node in ["entry-1", "entry-2", "entry-3"] {
         let (callers, operations) = (
@@ -140,6 +142,6 @@
     }
     let (kv, hosts) = (deployment.kv_address(), deployment.hosts_url());
     println!("export DOTTERELTALLY_KV={kv} DOTTERELTALLY_HOSTS={hosts}");
-    println!("bearer key: {KEY}; press Ctrl-C to stop");
+    println!("bearer key: {BEARER_KEY}; press Ctrl-C to stop");
     Ok(())
 }
--- a/testutils/src/deployment.rs
+++ b/testutils/src/deployment.rs
@@ -202,7 +202,7 @@
         self.node_process(name)?.kill().await
     }
 
-    /// Marks an entry host or endpoint as leaving in the host list.
+    /// Marks a node or endpoint as leaving in the host list.
     ///
     /// # Errors
     ///
@@ -217,11 +217,11 @@
         self.publish_host_list().await
     }
 
-    /// Kills an entry host or endpoint and removes it from the host list.
+    /// Kills a node or endpoint and removes it from the host list.
     ///
     /// # Errors
     ///
-    /// Fails if the host list can't be changed.
+    /// Fails if the stand-in for the host list rejects the change.
     pub async fn remove(&mut self, name: &str) -> Result<()> {
         self.nodes.remove(name);
         self.endpoints.remove(name);
@@ -362,7 +362,7 @@
         self.endpoints.keys().cloned().collect()
     }
 
-    /// Returns the process of a node.
+    /// Returns the process of a node, to signal it or to wait for its exit.
     ///
     /// # Errors
     ///
@@ -372,7 +372,7 @@
         Ok(&mut node.process)
     }
 
-    /// Returns the process of an endpoint.
+    /// Returns the process of an endpoint's stand-in.
     ///
     /// # Errors
     ///
--- a/testutils/src/engine.rs
+++ b/testutils/src/engine.rs
@@ -116,7 +116,7 @@
 pub struct Engine {
     controls: Observable<Controls>,
     batch: Mutex<Batch>,
-    /// The load that was reported last, and when it was taken.
+    /// The load that was reported last, and when it was measured.
     load: Mutex<Option<(Instant, batch::Load)>>,
     /// The most recent requests, for the control page.
     requests: Mutex<VecDeque<Value>>,
@@ -167,7 +167,7 @@
         let mut load = lock(&self.load);
         let now = Instant::now();
         let report = load
-            .filter(|(taken, _)| now.duration_since(*taken) < lag)
+            .filter(|(measured, _)| now.duration_since(*measured) < lag)
             .unwrap_or_else(|| (now, lock(&self.batch).load()));
         *load = Some(report);
         let batch::Load {
@@ -193,6 +193,7 @@
         HeaderValue::from_str(&text).expect("JSON of numbers is a valid header")
     }
 
+    /// Adds a request to the list on the control page.
     fn list_request(&self, id: &str, completion: &Completion) {
         let mut requests = lock(&self.requests);
         if requests.len() == MAX_LISTED_REQUESTS {
@@ -205,6 +206,7 @@
         }));
     }
 
+    /// Handles a completion request.
     async fn complete(&self, api: Api, request: Request<Incoming>) -> Handled {
         let request_id = request.headers().get("x-request-id").cloned();
         let id = request_id
@@ -250,6 +252,8 @@
         Ok(response)
     }
 
+    /// Streams the cache events from the number `from` in the query on, or from
+    /// the first one; the stream stays open for later events.
     fn cache_events(self: Arc<Self>, query: &str) -> Response<Body> {
         let mut from = 1;
         for pair in query.split('&') {
@@ -294,7 +298,8 @@
 }
 
 /// Builds a response of server-sent events; waits for the first token before
-/// it returns the head.
+/// it returns the head. If `cut` is set, the stream ends after that token,
+/// without `[DONE]`.
 async fn stream_response(
     api: Api,
     completion: Completion,
@@ -338,7 +343,7 @@
     event_stream(body)
 }
 
-/// Builds a response of one JSON document, after the last token.
+/// Waits for the last token, then builds a response of one JSON document.
 async fn buffered_response(
     api: Api,
     completion: &Completion,
--- a/testutils/src/fixture.rs
+++ b/testutils/src/fixture.rs
@@ -50,6 +50,9 @@
 }
 
 /// Returns the operators' configuration of the fixture, in YAML.
+///
+/// The service `empty-app` has no endpoints, so calls of `/nowhere` can't be
+/// served.
 #[must_use]
 pub fn configuration() -> String {
     let (key, small) = (
@@ -122,12 +125,12 @@
 }
 
 impl Deployment {
-    /// Waits until every running node is ready, knows every other node and
-    /// every endpoint, and uses this configuration generation or a later one.
+    /// Waits until every node is ready, knows every other node and every
+    /// endpoint, and uses this configuration generation or a later one.
     ///
     /// # Errors
     ///
-    /// Fails if a node does not get there in time.
+    /// Fails if a node has not converged in time.
     pub async fn wait_until_converged(&self, generation: u64) -> Result<()> {
         self.wait_until_ready().await?;
         let names = self.node_names();
@@ -139,9 +142,9 @@
                     status[list].as_array().map(Vec::len) == Some(length)
                 };
                 let is_current = status["generation"].as_u64()? >= generation;
-                let peers = has_length("peers", names.len() - 1);
-                let endpoints = has_length("endpoints", self.endpoint_names().len());
-                (is_current && peers && endpoints).then_some(())
+                let knows_peers = has_length("peers", names.len() - 1);
+                let knows_endpoints = has_length("endpoints", self.endpoint_names().len());
+                (is_current && knows_peers && knows_endpoints).then_some(())
             })
             .await
             .wrap_err(format!("status of {name}: {:?}", self.status(name).await))?;
@@ -194,16 +197,16 @@
         Ok(runs)
     }
 
-    /// Waits until a counter of an endpoint is at least `number`.
+    /// Waits until a counter of an endpoint is at least `minimum`.
     ///
     /// # Errors
     ///
     /// Fails if that does not happen in time.
-    pub async fn wait_for_count(&self, endpoint: &str, count: &str, number: u64) -> Result<()> {
-        let what = format!("{count} of {endpoint} is at least {number}");
+    pub async fn wait_for_count(&self, endpoint: &str, counter: &str, minimum: u64) -> Result<()> {
+        let what = format!("{counter} of {endpoint} is at least {minimum}");
         eventually(&what, async || {
             let counts = self.counts(endpoint).await.ok()?;
-            (counts[count].as_u64()? >= number).then_some(())
+            (counts[counter].as_u64()? >= minimum).then_some(())
         })
         .await
     }
--- a/testutils/src/kv/store.rs
+++ b/testutils/src/kv/store.rs
@@ -39,6 +39,7 @@
     lease: i64,
 }
 
+/// One change of a key, as kept in the history.
 #[derive(Debug)]
 struct Change {
     revision: i64,
@@ -99,6 +100,7 @@
         }
     }
 
+    /// Returns the items as of a revision, by replaying the history up to it.
     fn items_at(&self, revision: i64) -> BTreeMap<Vec<u8>, Item> {
         let mut items = BTreeMap::new();
         for change in &self.history {
@@ -161,6 +163,7 @@
         Ok(result)
     }
 
+    /// Runs one operation of a transaction, whose writes get this revision.
     fn apply(&mut self, operation: &Operation, revision: i64) -> Value {
         match operation {
             Operation::Put(put) => {
@@ -216,6 +219,7 @@
         });
     }
 
+    /// Deletes the keys of a range at this revision; returns their number.
     fn remove(&mut self, query: &Range, revision: i64) -> usize {
         let mut keys = Vec::new();
         for key in self.items.keys() {
--- a/testutils/src/ledger.rs
+++ b/testutils/src/ledger.rs
@@ -1,5 +1,6 @@
-//! Stand-in for a plain service, such as a payment ledger. It counts how often
-//! it executed each request and idempotency key.
+//! Stand-in for a plain service, which is one that serves no models, such as a
+//! payment ledger. It counts how often it executed each request and
+//! idempotency key.
 
 use std::{
     collections::BTreeMap,
--- a/testutils/src/lib.rs
+++ b/testutils/src/lib.rs
@@ -1,4 +1,5 @@
-//! Test support: stand-ins for the outside systems, and a harness that runs
+//! Test support: stand-ins for the external systems (model engines, plain
+//! services, the key-value service and the host list), and a harness that runs
 //! the real programs against them.
 
 pub mod client;
--- a/testutils/src/server.rs
+++ b/testutils/src/server.rs
@@ -125,6 +125,7 @@
         let _ = receiver.wait_for(condition).await;
     }
 
+    /// Overwrites the fields that `change` contains.
     fn merge(&self, change: &Value) -> serde_json::Result<()> {
         let merged = merged(&self.get(), change)?;
         self.0.send_replace(merged);
@@ -207,6 +208,7 @@
     pending().await
 }
 
+/// Serves the control page on its own address, on any path.
 async fn accept_control<S: Service>(listener: TcpListener, shared: Arc<Shared<S>>) {
     while let Ok((stream, _)) = listener.accept().await {
         let shared = Arc::clone(&shared);
@@ -219,6 +221,8 @@
     }
 }
 
+/// Serves connections; closes the listener while the fault `down` is set, so
+/// that connections are refused.
 async fn accept<S: Service>(mut listener: TcpListener, shared: Arc<Shared<S>>) {
     let address = listener.local_addr().expect("a listener has an address");
     let mut faults = shared.faults.subscribe();
@@ -241,6 +245,7 @@
     }
 }
 
+/// Binds an address again; retries until it succeeds.
 async fn listen_again(address: SocketAddr) -> TcpListener {
     loop {
         match TcpListener::bind(address).await {
@@ -250,6 +255,7 @@
     }
 }
 
+/// Serves one connection until it ends or the fault `down` is set.
 async fn serve<S: Service>(stream: TcpStream, shared: Arc<Shared<S>>) {
     let number = shared.accepted.fetch_add(1, Ordering::SeqCst);
     if shared.faults.borrow().silent == Silence::All {
@@ -267,6 +273,8 @@
     }
 }
 
+/// Handles one request; the fault `slow_ms` delays all but those for the
+/// control page.
 async fn handle<S: Service>(shared: Arc<Shared<S>>, request: Request<Incoming>) -> Handled {
     if request.uri().path() == "/control" {
         return control_page(shared, request).await;
@@ -305,6 +313,8 @@
     Ok(json_response(StatusCode::OK, &page))
 }
 
+/// Applies a change of faults and controls; setting `silent` also stalls the
+/// open connections.
 fn set_controls<S: Service>(shared: &Shared<S>, change: &Value) -> serde_json::Result<()> {
     let faults = merged(&*shared.faults.borrow(), change)?;
     shared.service.controls().merge(change)?;
--- a/testutils/tests/test_engine.rs
+++ b/testutils/tests/test_engine.rs
@@ -124,6 +124,7 @@
     old.next_chunk().await?;
     set_controls(&engine, &json!({"silent": "existing"})).await?;
     assert!(chat(&engine, "new", true).fetch().await?.is_done());
+    // The stalled stream must not complete while a new request does.
     tokio::select! {
         biased;
         rest = old.read_to_end() => assert!(!rest?.is_done()),
--- a/testutils/tests/test_kv.rs
+++ b/testutils/tests/test_kv.rs
@@ -28,7 +28,8 @@
     STANDARD.encode(text)
 }
 
-fn create(key: &str, value: &str) -> Value {
+/// Builds a transaction that creates a key, or reads it if it exists.
+fn create_transaction(key: &str, value: &str) -> Value {
     json!({
         "compare": [{"key": b64(key), "target": "VERSION", "result": "EQUAL", "version": "0"}],
         "success": [{"request_put": {"key": b64(key), "value": b64(value)}}],
@@ -43,10 +44,10 @@
 #[tokio::test]
 async fn only_the_first_create_succeeds() -> Result<()> {
     let kv = start().await?;
-    let first = call(&kv, "/v3/kv/txn", &create("a", "1")).await?;
+    let first = call(&kv, "/v3/kv/txn", &create_transaction("a", "1")).await?;
     assert_eq!(first["succeeded"], true);
     assert_eq!(first["header"]["revision"], "2");
-    let second = call(&kv, "/v3/kv/txn", &create("a", "2")).await?;
+    let second = call(&kv, "/v3/kv/txn", &create_transaction("a", "2")).await?;
     assert_eq!(second["succeeded"], Value::Null);
     let found = &second["responses"][0]["response_range"]["kvs"][0];
     assert_eq!(found["value"], b64("1"));
@@ -120,11 +121,11 @@
     let kv = start().await?;
     let control = kv.control.to_string();
     set_controls(&control, &json!({"lose_answers": 1})).await?;
-    let response = call(&kv, "/v3/kv/txn", &create("a", "1")).await;
+    let response = call(&kv, "/v3/kv/txn", &create_transaction("a", "1")).await;
     assert!(response.is_err());
     assert_eq!(read(&kv, "a").await?["count"], "1");
     set_controls(&control, &json!({"lose_requests": 1})).await?;
-    let response = call(&kv, "/v3/kv/txn", &create("b", "1")).await;
+    let response = call(&kv, "/v3/kv/txn", &create_transaction("b", "1")).await;
     assert!(response.is_err());
     assert_eq!(read(&kv, "b").await?["count"], Value::Null);
     Ok(())
