--- a/lib/src/dispatcher.rs
+++ b/lib/src/dispatcher.rs
@@ -19,7 +19,7 @@
 
 use self::{
     member::Member,
-    queue::{Lane, Queue},
+    queue::{Queue, Timeliness},
 };
 use crate::{
     endpoint::{self, Standing},
@@ -38,7 +38,7 @@
 /// node, subtracted from the time that an endpoint has to answer.
 const TRANSIT_MARGIN: Duration = Duration::from_millis(15);
 
-/// Cost of an endpoint in another data centre, in seconds.
+/// Cost added to an endpoint in another data centre, in seconds.
 const REMOTE_COST_SECS: f64 = 0.07;
 
 /// Upper bound of the random cost added to each endpoint, in seconds. It keeps
@@ -48,12 +48,12 @@
 /// Weight of the expected streaming time, relative to the time to first byte.
 const STREAM_TIME_WEIGHT: f64 = 0.1;
 
-/// Cost of each running stream that would pause for longer than allowed, in
-/// seconds.
+/// Cost of each stream running at the endpoint that would pause for longer than
+/// the request's `max_pause`, in seconds.
 const STALL_COST_SECS: f64 = 0.15;
 
-/// Fraction of the allowed pause above which a stream's expected pause adds to
-/// the cost.
+/// Fraction of the request's `max_pause` above which the expected pause of the
+/// streams at an endpoint adds to the cost.
 const STALL_THRESHOLD: f64 = 0.7;
 
 /// Cost of the last free slot of an endpoint of mean speed, in seconds. It
@@ -62,9 +62,9 @@
 const OCCUPANCY_COST_SECS: f64 = 0.05;
 
 /// Longest mean time between two completions, in seconds, at which a full
-/// endpoint gets one request in advance. It covers the 10 ms that news of a
-/// completion and the next request take between data centres; a larger value
-/// would delay urgent requests (see `test_dispatcher`).
+/// endpoint gets one request in advance. It covers the 10 ms that the message
+/// about a completion and the next request take between data centres; a larger
+/// value would delay urgent requests (see `test_dispatcher`).
 const MAX_COMPLETION_GAP_SECS: f64 = 0.06;
 
 /// Cost of an answer that would not be complete by its deadline, in seconds.
@@ -185,17 +185,18 @@
     /// Prompt tokens of requests still waiting for their first byte.
     pub pending: u64,
     /// Mean time between two events, over the streams that ended since the last
-    /// report.
+    /// report; `None` if none ended.
     pub pace: Option<Duration>,
 }
 
 /// A request in flight at an endpoint.
 #[derive(Clone, Debug)]
-struct Flight {
+struct InFlight {
     request: Request,
     endpoint: id::Endpoint,
-    sent: time::Instant,
-    first: Option<time::Instant>,
+    sent_at: time::Instant,
+    /// When the first byte of the answer was received; `None` until then.
+    first_byte_at: Option<time::Instant>,
     /// Whether another node placed the request and reports it as its own load.
     delegated: bool,
 }
@@ -204,12 +205,16 @@
 #[derive(Debug)]
 pub struct Dispatcher {
     settings: Settings,
+    /// The listed endpoints, and those that still run requests.
     members: BTreeMap<id::Endpoint, Member>,
     queues: BTreeMap<id::Service, Queue>,
-    flights: HashMap<id::Request, Flight>,
-    peers: HashMap<id::Node, HashMap<id::Endpoint, Load>>,
-    nodes: usize,
+    in_flight: HashMap<id::Request, InFlight>,
+    /// Last load reported by each other node.
+    peer_loads: HashMap<id::Node, HashMap<id::Endpoint, Load>>,
+    /// Nodes that share the endpoints, this one included.
+    node_count: usize,
     rng: SmallRng,
+    /// Effects of the current call, returned at its end.
     effects: Vec<Effect>,
 }
 
@@ -222,9 +227,9 @@
             settings,
             members: BTreeMap::new(),
             queues: BTreeMap::new(),
-            flights: HashMap::new(),
-            peers: HashMap::new(),
-            nodes: 1,
+            in_flight: HashMap::new(),
+            peer_loads: HashMap::new(),
+            node_count: 1,
             effects: Vec::new(),
         }
     }
@@ -247,17 +252,17 @@
             self.members.insert(record.id.clone(), Member::new(record));
         }
         self.members
-            .retain(|_, member| member.listed || member.own > 0);
+            .retain(|_, member| member.listed || member.own_requests > 0);
         self.group_by_service();
         self.dispatch_all(now);
         std::mem::take(&mut self.effects)
     }
 
-    /// Sets the other nodes of the cluster and divides the endpoints among all
-    /// of them.
+    /// Sets the other nodes of the cluster and with them the number of nodes
+    /// that share the endpoints (see [`Self::set_node_count`]).
     pub fn set_peers(&mut self, nodes: &[id::Node]) {
         self.set_node_count(nodes.len() + 1);
-        self.peers.retain(|node, _| nodes.contains(node));
+        self.peer_loads.retain(|node, _| nodes.contains(node));
         self.sum_peer_loads();
     }
 
@@ -269,12 +274,12 @@
         loads: HashMap<id::Endpoint, Load>,
     ) -> Vec<Effect> {
         for (name, load) in &loads {
-            if let (Some(member), Some(pace)) = (self.members.get_mut(name), load.pace) {
-                member.pace.record(pace.as_secs_f64());
+            if let (Some(member), Some(event_interval)) = (self.members.get_mut(name), load.pace) {
+                member.event_interval.record(event_interval.as_secs_f64());
             }
         }
-        self.peers.insert(node.clone(), loads);
-        self.update_mean_paces();
+        self.peer_loads.insert(node.clone(), loads);
+        self.update_mean_event_intervals();
         self.sum_peer_loads();
         self.dispatch_all(now);
         std::mem::take(&mut self.effects)
@@ -282,13 +287,13 @@
 
     /// Drops the reported load of a node whose reports have stopped.
     pub fn forget_peer(&mut self, node: &id::Node) {
-        if self.peers.remove(node).is_some() {
+        if self.peer_loads.remove(node).is_some() {
             self.sum_peer_loads();
         }
     }
 
     /// Returns this node's load for the next report to the other nodes and
-    /// starts a new interval for the mean pace.
+    /// starts a new averaging period for the mean time between events.
     pub fn take_load(&mut self) -> Vec<(id::Endpoint, Load)> {
         let mut loads = Vec::new();
         for member in self.members.values_mut() {
@@ -318,7 +323,7 @@
             .map(Member::capacity)
             .sum();
         let node_capacity =
-            f64::from(capacity) / f64::from(u32::try_from(self.nodes).unwrap_or(u32::MAX));
+            f64::from(capacity) / f64::from(u32::try_from(self.node_count).unwrap_or(u32::MAX));
         queue.record_arrival(now, &request);
         let wait = queue.estimate_wait(now, &request, node_capacity);
         if queue.len() >= MAX_QUEUED_REQUESTS || queue.is_infeasible(now + wait, &request) {
@@ -357,20 +362,20 @@
         if !member.listed || member.record.standing == Standing::Leaving {
             return false;
         }
-        member.own += 1;
-        member.pending += request.prompt;
+        member.own_requests += 1;
+        member.own_pending_tokens += request.prompt;
         if delegated {
             member.delegated.0 += 1;
             member.delegated.1 += request.prompt;
         }
-        let flight = Flight {
+        let in_flight = InFlight {
             request,
             endpoint: endpoint.clone(),
-            sent: now,
-            first: None,
+            sent_at: now,
+            first_byte_at: None,
             delegated,
         };
-        let previous = self.flights.insert(id, flight);
+        let previous = self.in_flight.insert(id, in_flight);
         assert!(previous.is_none(), "request {id} was sent twice");
         true
     }
@@ -378,8 +383,8 @@
     /// Makes this node report all its requests itself, because the node that
     /// placed them is gone. Returns this node's load on each endpoint.
     pub fn count_locally(&mut self) -> Vec<(id::Endpoint, Load)> {
-        for flight in self.flights.values_mut() {
-            flight.delegated = false;
+        for in_flight in self.in_flight.values_mut() {
+            in_flight.delegated = false;
         }
         let mut loads = Vec::new();
         for member in self.members.values_mut() {
@@ -392,14 +397,15 @@
         loads
     }
 
-    /// Sets the number of nodes that share the endpoints.
+    /// Sets the number of nodes that share the endpoints. The wait of a new
+    /// request is estimated with an equal part of their capacity for this node.
     pub fn set_node_count(&mut self, nodes: usize) {
-        self.nodes = nodes.max(1);
+        self.node_count = nodes.max(1);
     }
 
     /// Cancels a request that is queued or in flight.
     pub fn cancel(&mut self, now: time::Instant, id: id::Request) -> Vec<Effect> {
-        if self.flights.contains_key(&id) {
+        if self.in_flight.contains_key(&id) {
             return self.finish(now, id, Outcome::Cancelled);
         }
         for queue in self.queues.values_mut() {
@@ -412,30 +418,35 @@
 
     /// Records the first byte of an answer.
     pub fn record_first_byte(&mut self, now: time::Instant, id: id::Request) {
-        let Some(flight) = self.flights.get_mut(&id) else {
+        let Some(in_flight) = self.in_flight.get_mut(&id) else {
             return;
         };
-        if flight.first.is_some() {
+        if in_flight.first_byte_at.is_some() {
             return;
         }
-        flight.first = Some(now);
-        let Some(member) = self.members.get_mut(&flight.endpoint) else {
+        in_flight.first_byte_at = Some(now);
+        let Some(member) = self.members.get_mut(&in_flight.endpoint) else {
             return;
         };
-        let pending = member.pending;
-        member.pending = member.pending.saturating_sub(flight.request.prompt);
-        if flight.delegated {
+        let own_pending_tokens = member.own_pending_tokens;
+        member.own_pending_tokens = member
+            .own_pending_tokens
+            .saturating_sub(in_flight.request.prompt);
+        if in_flight.delegated {
             // Only the node that placed the request knows which other prompts
             // the endpoint was processing at the time.
-            member.delegated.1 = member.delegated.1.saturating_sub(flight.request.prompt);
+            member.delegated.1 = member.delegated.1.saturating_sub(in_flight.request.prompt);
             return;
         }
-        let took = now.since(flight.sent);
-        if let Some(queue) = self.queues.get_mut(&flight.request.service) {
-            let speed = member.speed(queue.mean_pace);
-            queue
-                .model
-                .record_first_byte(flight.request.prompt, pending, took, speed);
+        let took = now.since(in_flight.sent_at);
+        if let Some(queue) = self.queues.get_mut(&in_flight.request.service) {
+            let relative_speed = member.relative_speed(queue.mean_event_interval);
+            queue.model.record_first_byte(
+                in_flight.request.prompt,
+                own_pending_tokens,
+                took,
+                relative_speed,
+            );
         }
     }
 
@@ -448,24 +459,25 @@
         waiting: u32,
     ) {
         if let Some(member) = self.members.get_mut(name) {
-            member.reported = Some((now, running + waiting));
+            member.reported_requests = Some((now, running + waiting));
         }
     }
 
     /// Records the end of a request at its endpoint.
     pub fn finish(&mut self, now: time::Instant, id: id::Request, outcome: Outcome) -> Vec<Effect> {
-        let Some(flight) = self.flights.remove(&id) else {
+        let Some(in_flight) = self.in_flight.remove(&id) else {
             return Vec::new();
         };
-        let service = flight.request.service.clone();
-        if let Some(member) = self.members.get_mut(&flight.endpoint) {
-            let unanswered_prompt = match flight.first {
-                None => flight.request.prompt,
+        let service = in_flight.request.service.clone();
+        if let Some(member) = self.members.get_mut(&in_flight.endpoint) {
+            // Pending prompt tokens are released at the first byte.
+            let unanswered_prompt = match in_flight.first_byte_at {
+                None => in_flight.request.prompt,
                 Some(_) => 0,
             };
-            member.own = member.own.saturating_sub(1);
-            member.pending = member.pending.saturating_sub(unanswered_prompt);
-            if flight.delegated {
+            member.own_requests = member.own_requests.saturating_sub(1);
+            member.own_pending_tokens = member.own_pending_tokens.saturating_sub(unanswered_prompt);
+            if in_flight.delegated {
                 let (requests, pending) = member.delegated;
                 member.delegated = (
                     requests.saturating_sub(1),
@@ -473,30 +485,32 @@
                 );
             }
             member.record_outcome(now, outcome);
-            if !flight.delegated
-                && let (Outcome::Answered(timing), Some(first)) = (outcome, flight.first)
+            if !in_flight.delegated
+                && let (Outcome::Answered(timing), Some(first_byte_at)) =
+                    (outcome, in_flight.first_byte_at)
                 && let Some(queue) = self.queues.get_mut(&service)
             {
-                let took = now.since(first);
-                let speed = member.speed(queue.mean_pace);
-                if let Some(pace) = queue
-                    .model
-                    .record_answer(&flight.request, timing, took, speed)
+                let took = now.since(first_byte_at);
+                let relative_speed = member.relative_speed(queue.mean_event_interval);
+                if let Some(event_interval) =
+                    queue
+                        .model
+                        .record_answer(&in_flight.request, timing, took, relative_speed)
                 {
-                    member.record_pace(pace);
+                    member.record_event_interval(event_interval);
                 }
             }
-            if !member.listed && member.own == 0 {
-                self.members.remove(&flight.endpoint);
+            if !member.listed && member.own_requests == 0 {
+                self.members.remove(&in_flight.endpoint);
             }
         }
-        self.update_mean_paces();
+        self.update_mean_event_intervals();
         self.dispatch(now, &service);
         std::mem::take(&mut self.effects)
     }
 
     /// Refuses queued requests that can no longer be served in time and sends
-    /// those that fit.
+    /// others while endpoints have room.
     pub fn tick(&mut self, now: time::Instant) -> Vec<Effect> {
         let mut infeasible = Vec::new();
         for queue in self.queues.values_mut() {
@@ -519,7 +533,7 @@
     /// Returns the number of requests in flight.
     #[must_use]
     pub fn running(&self) -> usize {
-        self.flights.len()
+        self.in_flight.len()
     }
 
     /// Returns the number of listed endpoints.
@@ -544,22 +558,22 @@
             };
             queue.demote(now);
             let mut sent = false;
-            for (lane, id) in queue.head(MAX_LOOKAHEAD) {
+            for (timeliness, id) in queue.head(MAX_LOOKAHEAD) {
                 let Some(queue) = self.queues.get(service) else {
                     return;
                 };
                 let Some(request) = queue.get(id) else {
                     continue;
                 };
-                let choice = self.choose(now, queue, request, lane);
-                match choice {
-                    Pick::At(name, first) => {
-                        self.send(now, service, id, &name, first);
+                let selection = self.choose(now, queue, request, timeliness);
+                match selection {
+                    Selection::At(name, first_byte_secs) => {
+                        self.send(now, service, id, &name, first_byte_secs);
                         sent = true;
                         break;
                     }
-                    Pick::Wait => {}
-                    Pick::Full => return,
+                    Selection::Wait => {}
+                    Selection::Full => return,
                 }
             }
             if !sent {
@@ -568,8 +582,15 @@
         }
     }
 
-    /// Chooses the endpoint with the lowest cost for a request.
-    fn choose(&self, now: time::Instant, queue: &Queue, request: &Request, lane: Lane) -> Pick {
+    /// Chooses the endpoint with the lowest cost for a request: the expected time
+    /// to first byte plus the penalties defined above, in seconds.
+    fn choose(
+        &self,
+        now: time::Instant,
+        queue: &Queue,
+        request: &Request,
+        timeliness: Timeliness,
+    ) -> Selection {
         let time_to_due = (request.first_byte_due - TRANSIT_MARGIN)
             .since(now)
             .as_secs_f64();
@@ -581,50 +602,52 @@
             let Some(member) = self.members.get(name) else {
                 continue;
             };
-            let speed = member.speed(queue.mean_pace);
-            let Some(wait) = wait_for_slot(now, queue, member, speed) else {
+            let relative_speed = member.relative_speed(queue.mean_event_interval);
+            let Some(wait) = wait_for_slot(now, queue, member, relative_speed) else {
                 continue;
             };
             has_room = true;
             if request.excluded.contains(name) {
                 continue;
             }
-            let first = wait
-                + queue
-                    .model
-                    .time_to_first_byte(request.prompt, member.pending(), speed);
-            let distance = if member.record.data_centre == self.settings.data_centre {
+            let first_byte_secs = wait
+                + queue.model.time_to_first_byte(
+                    request.prompt,
+                    member.pending_tokens(),
+                    relative_speed,
+                );
+            let remote_cost = if member.record.data_centre == self.settings.data_centre {
                 0.0
             } else {
                 REMOTE_COST_SECS
             };
-            let misses_due = lane == Lane::OnTime && first > time_to_due;
-            let stream_time = queue.model.stream_time(request) / speed;
+            let misses_due = timeliness == Timeliness::OnTime && first_byte_secs > time_to_due;
+            let stream_time = queue.model.stream_time(request) / relative_speed;
             if misses_due {
                 continue;
             }
-            let incomplete = if first + stream_time > time_to_deadline {
+            let incomplete_cost = if first_byte_secs + stream_time > time_to_deadline {
                 INCOMPLETE_COST_SECS
             } else {
                 0.0
             };
             let stalled = stalled_streams(queue, request, member);
-            let cost = first
-                + distance
+            let cost = first_byte_secs
+                + remote_cost
                 + STREAM_TIME_WEIGHT * stream_time
                 + STALL_COST_SECS * stalled
-                + incomplete
-                + OCCUPANCY_COST_SECS * speed * member.occupancy()
+                + incomplete_cost
+                + OCCUPANCY_COST_SECS * relative_speed * member.occupancy()
                 + FAILURE_COST_SECS * member.failure_rate(now)
                 + rng.random_range(0.0..MAX_JITTER_SECS);
             if best.is_none_or(|(lowest, ..)| cost < lowest) {
-                best = Some((cost, first, name));
+                best = Some((cost, first_byte_secs, name));
             }
         }
         match best {
-            Some((_, first, name)) => Pick::At(name.clone(), first),
-            None if has_room => Pick::Wait,
-            None => Pick::Full,
+            Some((_, first_byte_secs, name)) => Selection::At(name.clone(), first_byte_secs),
+            None if has_room => Selection::Wait,
+            None => Selection::Full,
         }
     }
 
@@ -634,8 +657,9 @@
         service: &id::Service,
         id: id::Request,
         name: &id::Endpoint,
-        first: f64,
+        first_byte_secs: f64,
     ) {
+        // `choose` drew from a copy of the generator; this advances it.
         self.rng.random::<u64>();
         let Some(queue) = self.queues.get_mut(service) else {
             return;
@@ -647,26 +671,26 @@
         let Some(member) = self.members.get_mut(name) else {
             return;
         };
-        member.own += 1;
-        member.pending += request.prompt;
+        member.own_requests += 1;
+        member.own_pending_tokens += request.prompt;
         let choice = Choice {
             endpoint: name.clone(),
             address: member.record.address.clone(),
             data_centre: member.record.data_centre.clone(),
-            own_requests: member.own,
-            other_requests: member.others.requests,
+            own_requests: member.own_requests,
+            other_requests: member.peer_load.requests,
             capacity: member.capacity(),
-            expected_first_byte: Duration::from_secs_f64(first.clamp(0.0, 3600.0)),
+            expected_first_byte: Duration::from_secs_f64(first_byte_secs.clamp(0.0, 3600.0)),
             waiting,
         };
-        let flight = Flight {
+        let in_flight = InFlight {
             request,
             endpoint: name.clone(),
-            sent: now,
-            first: None,
+            sent_at: now,
+            first_byte_at: None,
             delegated: false,
         };
-        let previous = self.flights.insert(id, flight);
+        let previous = self.in_flight.insert(id, in_flight);
         assert!(previous.is_none(), "request {id} was sent twice");
         self.effects.push(Effect::Send(id, choice));
     }
@@ -681,17 +705,17 @@
         self.effects.push(Effect::Refuse(id, refusal));
     }
 
-    /// Updates the mean pace of each service.
-    fn update_mean_paces(&mut self) {
+    /// Updates each service's mean time between two events of a stream.
+    fn update_mean_event_intervals(&mut self) {
         for queue in self.queues.values_mut() {
             let members = queue.endpoints.iter();
-            let paces = members.filter_map(|name| self.members.get(name)?.pace.get());
+            let intervals = members.filter_map(|name| self.members.get(name)?.event_interval.get());
             let (mut sum, mut count) = (0.0, 0.0);
-            for pace in paces {
-                sum += pace;
+            for interval in intervals {
+                sum += interval;
                 count += 1.0;
             }
-            queue.mean_pace = (count > 0.0).then_some(sum / count);
+            queue.mean_event_interval = (count > 0.0).then_some(sum / count);
         }
     }
 
@@ -715,53 +739,64 @@
     /// Adds up the load that the other nodes reported for each endpoint.
     fn sum_peer_loads(&mut self) {
         for member in self.members.values_mut() {
-            member.others = Load::default();
+            member.peer_load = Load::default();
         }
-        for loads in self.peers.values() {
+        for loads in self.peer_loads.values() {
             for (name, load) in loads {
                 let Some(member) = self.members.get_mut(name) else {
                     continue;
                 };
-                member.others.requests += load.requests;
-                member.others.pending += load.pending;
+                member.peer_load.requests += load.requests;
+                member.peer_load.pending += load.pending;
             }
         }
     }
 }
 
-/// Where a queued request can go.
-enum Pick {
+/// Result of choosing an endpoint for a queued request.
+enum Selection {
     /// To this endpoint, with the expected time to first byte in seconds.
     At(id::Endpoint, f64),
-    /// Some endpoint has room, but none suits this request.
+    /// Some endpoint has room, but none suits this request, which stays queued;
+    /// a later request may fit.
     Wait,
-    /// No endpoint has room.
+    /// No endpoint has room for any request.
     Full,
 }
 
 /// Returns the expected seconds until an endpoint has a free slot, or `None` if
 /// the endpoint takes no more requests now.
-fn wait_for_slot(now: time::Instant, queue: &Queue, member: &Member, speed: f64) -> Option<f64> {
+fn wait_for_slot(
+    now: time::Instant,
+    queue: &Queue,
+    member: &Member,
+    relative_speed: f64,
+) -> Option<f64> {
     let (load, capacity) = (member.available_load(now)?, member.capacity());
     if load < capacity {
         return Some(0.0);
     }
-    let wait = queue.model.mean_stream_time() / (speed * f64::from(capacity));
+    let wait = queue.model.mean_stream_time() / (relative_speed * f64::from(capacity));
     (load == capacity && wait > 0.0 && wait <= MAX_COMPLETION_GAP_SECS).then_some(wait)
 }
 
 /// Returns the number of streams at an endpoint that would pause for too long
 /// while it processes the request's prompt.
+///
+/// The streams serve the same service, so the request's `max_pause` is taken as
+/// the limit of all of them. Each counts from zero, at [`STALL_THRESHOLD`] of
+/// that limit, up to one, at the limit.
 fn stalled_streams(queue: &Queue, request: &Request, member: &Member) -> f64 {
-    let Some(pause) = request.max_pause else {
+    let Some(max_pause) = request.max_pause else {
         return 0.0;
     };
-    let pause = pause.as_secs_f64();
-    let speed = member.speed(queue.mean_pace);
-    let longest = queue
-        .model
-        .expected_pause(request.prompt, member.pending(), speed);
-    let severity = (longest / pause - STALL_THRESHOLD) / (1.0 - STALL_THRESHOLD);
+    let max_pause = max_pause.as_secs_f64();
+    let relative_speed = member.relative_speed(queue.mean_event_interval);
+    let longest =
+        queue
+            .model
+            .expected_pause(request.prompt, member.pending_tokens(), relative_speed);
+    let severity = (longest / max_pause - STALL_THRESHOLD) / (1.0 - STALL_THRESHOLD);
     severity.clamp(0.0, 1.0) * f64::from(member.running())
 }
 
@@ -783,7 +818,9 @@
 }
 
 /// Returns how long a refused caller should wait before a retry: until the
-/// backlog has drained, but not so long that the retry can't be served.
+/// backlog has drained, but not so long that the retry can't be served. The
+/// factor of 0.8 leaves room for the random spread that a refusal adds, at most
+/// a quarter.
 fn retry_delay(now: time::Instant, request: &Request, wait: Duration) -> Duration {
     let latest = request.deadline.since(now) / RETRY_DIVISOR;
     wait.min(latest.mul_f64(0.8))
--- a/lib/src/dispatcher/member.rs
+++ b/lib/src/dispatcher/member.rs
@@ -21,7 +21,7 @@
 const REJECTED_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Time for which an endpoint is avoided if another one has its address; by
-/// then the directory has listed the change.
+/// then a new list of endpoints with the change has arrived.
 const MISDIRECTED_BACKOFF: Duration = Duration::from_secs(5);
 
 /// Half-life of the observed failure rate, in seconds.
@@ -39,29 +39,33 @@
 /// An endpoint as a member of the dispatcher's pool.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
-    /// The endpoint's entry in the directory.
+    /// The endpoint's entry in the list of endpoints.
     pub(super) record: Record,
-    /// Whether the directory still lists it.
+    /// Whether the current list of endpoints contains it.
     pub(super) listed: bool,
     /// Requests in flight from this node.
-    pub(super) own: u32,
+    pub(super) own_requests: u32,
     /// Prompt tokens of this node's requests still waiting for their first
     /// byte.
-    pub(super) pending: u64,
-    /// The part of `own` and `pending` that another node placed and reports as
-    /// its own.
+    pub(super) own_pending_tokens: u64,
+    /// The part of `own_requests` and `own_pending_tokens` that another node
+    /// placed and reports as its own.
     pub(super) delegated: (u32, u64),
     /// Load of the other nodes, by their last reports.
-    pub(super) others: Load,
-    /// Requests at the endpoint by its own last report, and when that was.
-    pub(super) reported: Option<(time::Instant, u32)>,
-    /// Seconds between two events of a stream.
-    pub(super) pace: Average,
-    /// Sum and number of the paces recorded since the last report to the other
-    /// nodes.
-    unreported_pace: (f64, u32),
+    pub(super) peer_load: Load,
+    /// Time of the endpoint's last report of its own load, and the requests
+    /// that ran or waited there; `None` if it has not reported any.
+    pub(super) reported_requests: Option<(time::Instant, u32)>,
+    /// Average seconds between two events of a stream.
+    pub(super) event_interval: Average,
+    /// Sum, in seconds, and number of the event intervals recorded since the
+    /// last report to the other nodes.
+    unreported_intervals: (f64, u32),
+    /// Time before which the endpoint gets no new requests.
     avoided_until: time::Instant,
+    /// Connections that failed since the last answer.
     failed_connections: u32,
+    /// Fraction of requests that failed, as of `failure_rate_updated`.
     failure_rate: f64,
     failure_rate_updated: time::Instant,
 }
@@ -71,13 +75,13 @@
         Self {
             record,
             listed: true,
-            own: 0,
-            pending: 0,
+            own_requests: 0,
+            own_pending_tokens: 0,
             delegated: (0, 0),
-            others: Load::default(),
-            reported: None,
-            pace: Average::default(),
-            unreported_pace: (0.0, 0),
+            peer_load: Load::default(),
+            reported_requests: None,
+            event_interval: Average::default(),
+            unreported_intervals: (0.0, 0),
             avoided_until: time::Instant::default(),
             failed_connections: 0,
             failure_rate: 0.0,
@@ -108,21 +112,21 @@
             return None;
         }
         // A single request tests whether it can be reached again.
-        if self.failed_connections > 0 && self.own > 0 {
+        if self.failed_connections > 0 && self.own_requests > 0 {
             return None;
         }
-        let mut others = self.others.requests;
-        if let Some((at, total)) = self.reported
+        let mut peer_requests = self.peer_load.requests;
+        if let Some((at, total)) = self.reported_requests
             && now.since(at) < REPORT_TTL
         {
-            others = others.max(total.saturating_sub(self.own));
+            peer_requests = peer_requests.max(total.saturating_sub(self.own_requests));
         }
-        Some(self.own + others)
+        Some(self.own_requests + peer_requests)
     }
 
     /// Returns the number of requests in flight from all nodes.
     pub(super) fn running(&self) -> u32 {
-        self.own + self.others.requests
+        self.own_requests + self.peer_load.requests
     }
 
     /// Returns the fraction of its capacity that is in use.
@@ -132,44 +136,46 @@
 
     /// Returns the prompt tokens of all nodes' requests still waiting for their
     /// first byte.
-    pub(super) fn pending(&self) -> u64 {
-        self.pending + self.others.pending
+    pub(super) fn pending_tokens(&self) -> u64 {
+        self.own_pending_tokens + self.peer_load.pending
     }
 
     /// Records the seconds between two events of a stream of this node.
-    pub(super) fn record_pace(&mut self, pace: f64) {
-        self.pace.record(pace);
-        self.unreported_pace.0 += pace;
-        self.unreported_pace.1 += 1;
+    pub(super) fn record_event_interval(&mut self, event_interval: f64) {
+        self.event_interval.record(event_interval);
+        self.unreported_intervals.0 += event_interval;
+        self.unreported_intervals.1 += 1;
     }
 
-    /// Returns the load to report to the other nodes, with the mean pace since
-    /// the last report.
+    /// Returns the load to report to the other nodes, with the mean event
+    /// interval since the last report.
     pub(super) fn take_load(&mut self) -> Load {
-        let (sum, count) = mem::take(&mut self.unreported_pace);
-        let pace = (count > 0).then(|| Duration::from_secs_f64(sum / f64::from(count)));
+        let (sum, count) = mem::take(&mut self.unreported_intervals);
+        let event_interval = (count > 0).then(|| Duration::from_secs_f64(sum / f64::from(count)));
         Load {
-            pace,
+            pace: event_interval,
             ..self.load()
         }
     }
 
-    /// Returns the load that this node reports itself, without a pace.
+    /// Returns the load that this node reports itself, without an event interval.
     pub(super) fn load(&self) -> Load {
         let (requests, pending) = self.delegated;
         Load {
-            requests: self.own.saturating_sub(requests),
-            pending: self.pending.saturating_sub(pending),
+            requests: self.own_requests.saturating_sub(requests),
+            pending: self.own_pending_tokens.saturating_sub(pending),
             pace: None,
         }
     }
 
-    /// Returns the speed relative to the service's mean.
-    pub(super) fn speed(&self, mean_pace: Option<f64>) -> f64 {
-        let (Some(own), Some(mean_pace)) = (self.pace.get(), mean_pace) else {
+    /// Returns the speed relative to the service's mean; one if unknown.
+    pub(super) fn relative_speed(&self, mean_event_interval: Option<f64>) -> f64 {
+        let (Some(interval), Some(mean_interval)) =
+            (self.event_interval.get(), mean_event_interval)
+        else {
             return 1.0;
         };
-        (mean_pace / own.max(1e-6)).clamp(SPEED_BOUNDS.0, SPEED_BOUNDS.1)
+        (mean_interval / interval.max(1e-6)).clamp(SPEED_BOUNDS.0, SPEED_BOUNDS.1)
     }
 
     /// Returns the fraction of recent requests that failed.
@@ -180,7 +186,8 @@
 
     /// Records the outcome of a request.
     pub(super) fn record_outcome(&mut self, now: time::Instant, outcome: Outcome) {
-        let failed = match outcome {
+        // Weight of the failure in the rate, from zero to one.
+        let failure = match outcome {
             Outcome::Cancelled => return,
             Outcome::Answered(_) => {
                 self.failed_connections = 0;
@@ -205,7 +212,7 @@
             self.avoided_until = self.avoided_until.max(now + backoff);
         }
         let rate = self.failure_rate(now);
-        self.failure_rate = rate + (failed - rate) * FAILURE_WEIGHT;
+        self.failure_rate = rate + (failure - rate) * FAILURE_WEIGHT;
         self.failure_rate_updated = now;
     }
 }
--- a/lib/src/dispatcher/model.rs
+++ b/lib/src/dispatcher/model.rs
@@ -29,13 +29,13 @@
 /// process prompts in chunks, in turn.
 const PENDING_FRACTION: f64 = 0.6;
 
-/// Minimum number of events for which a stream's pace is recorded.
-const MIN_PACE_EVENTS: u64 = 4;
+/// Minimum number of events for which a stream's event interval is recorded.
+const MIN_INTERVAL_EVENTS: u64 = 4;
 
 /// Prior for the time between two events, in seconds.
-const PACE_PRIOR_SECS: f64 = 0.03;
+const EVENT_INTERVAL_PRIOR_SECS: f64 = 0.03;
 
-/// Prior for the tokens of an event.
+/// Prior for the mean number of tokens in one event.
 const TOKENS_PER_EVENT_PRIOR: f64 = 6.0;
 
 /// Weight of the prior for tokens per event, in expected tokens.
@@ -45,8 +45,8 @@
 /// in seconds.
 const PAUSE_PRIOR_SECS: f64 = 0.25;
 
-/// Weights of a pause longer and shorter than the estimate of the longest
-/// pause.
+/// Weights of a new pause in the estimate of the longest pause, if it is longer
+/// than the estimate and if it is shorter.
 const PAUSE_WEIGHTS: (f64, f64) = (0.1, 0.002);
 
 /// Maximum pause that is attributed to prompt processing, in seconds; longer
@@ -60,11 +60,13 @@
     powers: [f64; 5],
     /// Weighted sums of y, xy and x^2 y.
     products: [f64; 3],
-    /// Solution: constant, slope and curvature.
+    /// Solution: constant, slope and curvature, none below zero.
     coefficients: [f64; 3],
 }
 
 impl Fit {
+    /// Adds an observation: a prompt of `x` units of [`PROMPT_UNIT_TOKENS`] took
+    /// `y` seconds.
     fn add(&mut self, x: f64, y: f64, weight: f64) {
         let mut term = weight;
         for (index, power) in self.powers.iter_mut().enumerate() {
@@ -76,6 +78,7 @@
         }
     }
 
+    /// Discounts the earlier observations.
     fn decay(&mut self) {
         for sum in self.powers.iter_mut().chain(&mut self.products) {
             *sum *= DISCOUNT;
@@ -112,7 +115,7 @@
     /// seconds.
     longest_pause: f64,
     /// Seconds between two events of a stream.
-    pub(super) pace: Average,
+    pub(super) event_interval: Average,
     /// Seconds from the first byte of an answer to its end.
     stream_time: Average,
     /// Discounted sums of received events and of expected tokens.
@@ -130,7 +133,7 @@
         Self {
             fit,
             longest_pause: PAUSE_PRIOR_SECS,
-            pace: Average::default(),
+            event_interval: Average::default(),
             stream_time: Average::default(),
             output: (
                 OUTPUT_PRIOR_TOKENS / TOKENS_PER_EVENT_PRIOR,
@@ -141,33 +144,35 @@
 }
 
 impl Model {
-    /// Records a time to first byte. `pending` is the number of pending prompt
-    /// tokens at the endpoint at that time, including this request's.
+    /// Records a time to first byte. `pending` is the number of this node's
+    /// pending prompt tokens at the endpoint at that time, including this
+    /// request's.
     pub(super) fn record_first_byte(
         &mut self,
         prompt: u64,
         pending: u64,
         elapsed: Duration,
-        speed: f64,
+        relative_speed: f64,
     ) {
         let others = pending.saturating_sub(prompt);
         let tokens = to_float(prompt) + PENDING_FRACTION * to_float(others);
         self.fit.decay();
         self.fit.add(
             tokens / PROMPT_UNIT_TOKENS,
-            elapsed.as_secs_f64() * speed,
+            elapsed.as_secs_f64() * relative_speed,
             1.0,
         );
         self.fit.solve();
     }
 
-    /// Records a complete answer. Returns its pace, if it had enough events.
+    /// Records a complete answer; `elapsed` is the time since its first byte.
+    /// Returns the seconds between two of its events, or `None` if it had too few.
     pub(super) fn record_answer(
         &mut self,
         request: &Request,
         timing: Timing,
         elapsed: Duration,
-        speed: f64,
+        relative_speed: f64,
     ) -> Option<f64> {
         if request.expected_output > 0 && timing.events > 0 {
             let (events, tokens) = self.output;
@@ -176,34 +181,37 @@
                 tokens * DISCOUNT + to_float(request.expected_output),
             );
         }
-        self.stream_time.record(elapsed.as_secs_f64() * speed);
-        if timing.events < MIN_PACE_EVENTS {
+        self.stream_time
+            .record(elapsed.as_secs_f64() * relative_speed);
+        if timing.events < MIN_INTERVAL_EVENTS {
             return None;
         }
-        let pause = (timing.longest_pause.as_secs_f64() * speed).min(MAX_PAUSE_SECS);
+        let pause = (timing.longest_pause.as_secs_f64() * relative_speed).min(MAX_PAUSE_SECS);
         let weight = if pause > self.longest_pause {
             PAUSE_WEIGHTS.0
         } else {
             PAUSE_WEIGHTS.1
         };
         self.longest_pause += (pause - self.longest_pause) * weight;
-        let pace = elapsed.as_secs_f64() / to_float(timing.events - 1);
-        self.pace.record(pace);
-        Some(pace)
+        let event_interval = elapsed.as_secs_f64() / to_float(timing.events - 1);
+        self.event_interval.record(event_interval);
+        Some(event_interval)
     }
 
-    /// Returns the expected seconds to the first byte at an endpoint.
-    pub(super) fn time_to_first_byte(&self, prompt: u64, pending: u64, speed: f64) -> f64 {
+    /// Returns the expected seconds to the first byte at an endpoint with
+    /// `pending` prompt tokens of other requests.
+    pub(super) fn time_to_first_byte(&self, prompt: u64, pending: u64, relative_speed: f64) -> f64 {
         let tokens = to_float(prompt) + PENDING_FRACTION * to_float(pending);
         let [constant, ..] = self.fit.coefficients;
-        (constant + self.prefill_time(tokens)) / speed
+        (constant + self.prefill_time(tokens)) / relative_speed
     }
 
     /// Returns the longest expected pause, in seconds, of streams at an
-    /// endpoint that processes these prompts.
-    pub(super) fn expected_pause(&self, prompt: u64, pending: u64, speed: f64) -> f64 {
+    /// endpoint that processes a prompt of this many tokens and the pending
+    /// ones.
+    pub(super) fn expected_pause(&self, prompt: u64, pending: u64, relative_speed: f64) -> f64 {
         let prefill = self.prefill_time(to_float(prompt)) + self.prefill_time(to_float(pending));
-        prefill.min(self.longest_pause) / speed
+        prefill.min(self.longest_pause) / relative_speed
     }
 
     /// Returns the expected seconds to process this many prompt tokens.
@@ -213,17 +221,22 @@
         units * (slope + curvature * units)
     }
 
-    /// Returns the expected seconds from the first byte to the end.
+    /// Returns the expected seconds from the first byte to the end, at mean speed;
+    /// zero without expected tokens.
     pub(super) fn stream_time(&self, request: &Request) -> f64 {
         if request.expected_output == 0 {
             return 0.0;
         }
         let events_per_token = self.output.0 / self.output.1;
-        let pace = self.pace.get().unwrap_or(PACE_PRIOR_SECS);
-        to_float(request.expected_output) * events_per_token * pace
+        let event_interval = self
+            .event_interval
+            .get()
+            .unwrap_or(EVENT_INTERVAL_PRIOR_SECS);
+        to_float(request.expected_output) * events_per_token * event_interval
     }
 
-    /// Returns the mean seconds from the first byte of an answer to its end.
+    /// Returns the mean seconds from the first byte of an answer to its end, at
+    /// mean speed; zero if unknown.
     pub(super) fn mean_stream_time(&self) -> f64 {
         self.stream_time.get().unwrap_or_default()
     }
--- a/lib/src/dispatcher/queue.rs
+++ b/lib/src/dispatcher/queue.rs
@@ -12,7 +12,7 @@
 
 /// Whether a queued request can still be on time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Lane {
+pub(super) enum Timeliness {
     /// Its first byte can arrive by its due time.
     OnTime,
     /// Its first byte will be late; it is served after the others.
@@ -22,7 +22,7 @@
 /// Sort key of the queued requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
-    lane: Lane,
+    timeliness: Timeliness,
     tier: id::Tier,
     class: id::Tier,
     due: time::Instant,
@@ -38,7 +38,8 @@
     work: f64,
 }
 
-/// Work per second, as an exponentially decaying average.
+/// Rate of work, as an exponentially decaying average: seconds of expected answer
+/// time per second.
 #[derive(Clone, Copy, Debug, Default)]
 struct Rate {
     sum: f64,
@@ -65,8 +66,10 @@
     pub(super) endpoints: Vec<id::Endpoint>,
     /// Model of the service's answer times.
     pub(super) model: Model,
-    /// Mean seconds between two events of a stream, over the endpoints.
-    pub(super) mean_pace: Option<f64>,
+    /// Mean seconds between two events of a stream, over the endpoints; `None`
+    /// until one is known.
+    pub(super) mean_event_interval: Option<f64>,
+    /// The queued requests, first to be served first.
     order: BTreeSet<Rank>,
     entries: HashMap<id::Request, Entry>,
     /// Rate of work sent to endpoints.
@@ -121,22 +124,22 @@
     }
 
     /// Returns the first requests in the order of the queue.
-    pub(super) fn head(&self, count: usize) -> Vec<(Lane, id::Request)> {
+    pub(super) fn head(&self, count: usize) -> Vec<(Timeliness, id::Request)> {
         let first = self.order.iter().take(count);
-        first.map(|rank| (rank.lane, rank.id)).collect()
+        first.map(|rank| (rank.timeliness, rank.id)).collect()
     }
 
     /// Moves requests that can no longer be on time behind the others.
     pub(super) fn demote(&mut self, now: time::Instant) {
         let mut late = Vec::new();
         for rank in &self.order {
-            if rank.lane == Lane::Late {
+            if rank.timeliness == Timeliness::Late {
                 break;
             }
             let Some(entry) = self.entries.get(&rank.id) else {
                 continue;
             };
-            if self.lane(now, &entry.request) == Lane::Late {
+            if self.timeliness(now, &entry.request) == Timeliness::Late {
                 late.push(rank.id);
             }
         }
@@ -165,16 +168,16 @@
     /// the deadline has passed, even if the fastest endpoint took the request
     /// now.
     pub(super) fn is_infeasible(&self, now: time::Instant, request: &Request) -> bool {
-        let first = self
+        let first_byte_secs = self
             .model
             .time_to_first_byte(request.prompt, 0, MAX_RELATIVE_SPEED);
-        now + seconds(first) > request.caller_leaves_at.min(request.deadline)
+        now + seconds(first_byte_secs) > request.caller_leaves_at.min(request.deadline)
     }
 
     /// Returns the expected wait of a new request: the work ahead of it,
     /// divided by the drain rate that more urgent arrivals leave. `capacity` is
-    /// this node's part of the endpoints' capacity, a lower bound for the drain
-    /// rate.
+    /// this node's part of the endpoints' capacity, in requests at once; it sets
+    /// a lower bound for the drain rate.
     pub(super) fn estimate_wait(
         &self,
         now: time::Instant,
@@ -197,21 +200,24 @@
             seconds(work / available.max(f64::MIN_POSITIVE))
         };
         let on_time = wait(&self.rank(now, id::Request(u64::MAX), request));
-        if self.lane(now + on_time, request) == Lane::OnTime {
+        if self.timeliness(now + on_time, request) == Timeliness::OnTime {
             return on_time;
         }
-        // Requests that can still be on time would overtake it.
+        // By then the request is late, and all that can still be on time are
+        // served before it.
         wait(&self.rank(now + on_time, id::Request(u64::MAX), request))
     }
 
-    fn lane(&self, now: time::Instant, request: &Request) -> Lane {
-        let first = self
+    /// Returns whether the first byte can be on time if the fastest endpoint
+    /// takes the request now.
+    fn timeliness(&self, now: time::Instant, request: &Request) -> Timeliness {
+        let first_byte_secs = self
             .model
             .time_to_first_byte(request.prompt, 0, MAX_RELATIVE_SPEED);
-        if now + seconds(first) > request.first_byte_due {
-            Lane::Late
+        if now + seconds(first_byte_secs) > request.first_byte_due {
+            Timeliness::Late
         } else {
-            Lane::OnTime
+            Timeliness::OnTime
         }
     }
 
@@ -226,13 +232,13 @@
     }
 
     fn rank(&self, now: time::Instant, id: id::Request, request: &Request) -> Rank {
-        let lane = self.lane(now, request);
-        let due = match lane {
-            Lane::OnTime => request.first_byte_due,
-            Lane::Late => request.caller_leaves_at,
+        let timeliness = self.timeliness(now, request);
+        let due = match timeliness {
+            Timeliness::OnTime => request.first_byte_due,
+            Timeliness::Late => request.caller_leaves_at,
         };
         Rank {
-            lane,
+            timeliness,
             tier: request.tier,
             class: self.effective_class(request),
             due,
@@ -254,7 +260,7 @@
 /// Minimum fraction of the drain rate that less urgent requests get.
 const MIN_DRAIN_FRACTION: f64 = 0.1;
 
-/// Speed of the fastest endpoints, relative to the service's mean.
+/// Assumed speed of the fastest endpoints, relative to the service's mean.
 const MAX_RELATIVE_SPEED: f64 = 2.0;
 
 fn seconds(value: f64) -> Duration {
