--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -6,12 +6,12 @@
 
 use crate::{
     affinity,
-    backlog::{Backlog, Lane, MAX_WAITING},
+    backlog::{Backlog, MAX_WAITING, ModelBacklog},
     balance::Policy,
     configuration,
     effect::Effect,
     fleet::{self, Slot},
-    flight::{Flight, Waiting},
+    flight::{InFlight, Waiting},
     id,
     placement::Choice,
     quarantine::Verdict,
@@ -27,9 +27,9 @@
 /// Longest retry delay that a refusal names, before jitter.
 pub(crate) const MAX_RETRY_DELAY: Duration = Duration::from_mins(1);
 
-/// Multiple of the time left that the estimated wait must exceed before a
-/// request is refused while requests of lower tiers wait. Those can be evicted
-/// first, so that the service isn't overloaded yet for the higher tier.
+/// Multiple of the time until `admit_by` that the estimated wait must exceed
+/// before a request is refused while requests of lower tiers wait. Those can be
+/// evicted first, so that the service isn't overloaded yet for the higher tier.
 const REFUSAL_WAIT_FACTOR: u32 = 2;
 
 /// Largest random increase of a retry delay, relative to the delay.
@@ -43,7 +43,7 @@
         request: id::Request,
         profile: Arc<Profile>,
     ) {
-        let known = self.waiting.contains_key(&request) || self.flights.contains_key(&request);
+        let known = self.waiting.contains_key(&request) || self.in_flight.contains_key(&request);
         assert!(!known, "request {request} arrived twice");
         let Some(waiting) = self.classify(profile) else {
             return self.refuse(request, Reason::NoEndpoint, MIN_RETRY_DELAY);
@@ -58,8 +58,8 @@
     /// Removes a request that its caller gave up, whether it waits or was just
     /// admitted.
     pub(crate) fn withdraw(&mut self, now: time::Instant, request: id::Request) {
-        if let Some(flight) = self.remove_flight(request) {
-            return self.admit_waiting(now, &flight.waiting.profile.service);
+        if let Some(in_flight) = self.remove_in_flight(request) {
+            return self.admit_waiting(now, &in_flight.waiting.profile.service);
         }
         if let Some(waiting) = self.remove_waiting(now, request) {
             self.admit_waiting(now, &waiting.profile.service);
@@ -68,18 +68,18 @@
 
     /// Queues an admitted request again that was not sent to its endpoint.
     pub(crate) fn requeue_unsent(&mut self, now: time::Instant, request: id::Request) {
-        let Some(flight) = self.remove_flight(request) else {
+        let Some(in_flight) = self.remove_in_flight(request) else {
             return;
         };
-        let mut waiting = flight.waiting;
-        if let Some(name) = self.avoid(now, flight.slot) {
+        let mut waiting = in_flight.waiting;
+        if let Some(name) = self.avoid(now, in_flight.slot) {
             waiting.avoided.push(name);
         }
         self.enqueue(now, request, waiting);
     }
 
-    /// Returns the request with its cost, or `None` without a configuration
-    /// or an endpoint that can serve it.
+    /// Returns the request with its cost, or `None` if there is no configuration,
+    /// its service isn't configured or no endpoint can serve it.
     fn classify(&mut self, profile: Arc<Profile>) -> Option<Waiting> {
         let configuration = self.configuration.as_ref()?;
         let service = configuration.services.get(&profile.service)?;
@@ -90,8 +90,8 @@
             return None;
         }
         let cached_blocks = self.prefixes.cached_blocks_by_slot(&profile.prefixes);
-        let lane = self.lane(&profile);
-        let expected_output = lane.expected_output(profile.output.0);
+        let model_backlog = self.model_backlog(&profile);
+        let expected_output = model_backlog.expected_output(profile.output.0);
         let most_blocks = cached_blocks.values().max().copied().unwrap_or(0);
         let cached = size::Tokens(affinity::BLOCK_TOKENS * most_blocks);
         let (cost, work) = match kind {
@@ -104,7 +104,7 @@
             }
             configuration::Kind::Plain => (1, 1),
         };
-        let service_time = lane.service_time(expected_output);
+        let service_time = model_backlog.service_time(expected_output);
         let admit_by = profile.deadline - service_time;
         Some(Waiting {
             profile,
@@ -118,12 +118,12 @@
         })
     }
 
-    /// Queues a request, unless its deadline would pass while it waits, and
-    /// admits the requests that fit.
+    /// Queues a request, or refuses it if its deadline would pass while it waits,
+    /// and admits the requests that fit.
     fn enqueue(&mut self, now: time::Instant, request: id::Request, waiting: Waiting) {
         let profile = Arc::clone(&waiting.profile);
-        let lane = self.lane(&profile);
-        let wait = lane.estimated_wait(profile.tier, &profile.workspace, waiting.share);
+        let model_backlog = self.model_backlog(&profile);
+        let wait = model_backlog.estimated_wait(profile.tier, &profile.workspace, waiting.share);
         let round_robin = self.settings.policy == Policy::RoundRobin;
         if waiting.admit_by <= now && !round_robin {
             return self.refuse(request, Reason::Deadline, MIN_RETRY_DELAY);
@@ -141,11 +141,13 @@
             self.shed_below(now, &profile.service, profile.tier);
             return self.refuse(request, Reason::Deadline, wait);
         }
-        let lane = self.lane(&profile);
-        let waited = !lane.queue.is_empty();
-        lane.record_admission(now, 0, waited);
-        lane.record_arrival(now, profile.tier, waiting.work);
-        lane.queue.push(profile.tier, waiting.item(request));
+        let model_backlog = self.model_backlog(&profile);
+        let waited = !model_backlog.queue.is_empty();
+        model_backlog.record_admission(now, 0, waited);
+        model_backlog.record_arrival(now, profile.tier, waiting.work);
+        model_backlog
+            .queue
+            .push(profile.tier, waiting.item(request));
         self.waiting.insert(request, waiting);
         self.admit_waiting(now, &profile.service);
         self.enforce_max_waiting(now, &profile.service);
@@ -197,38 +199,39 @@
         self.prefixes
             .record_dispatch(slot, &waiting.profile.prefixes);
         let name = endpoint.record.id.clone();
-        let flight = Flight {
+        let in_flight = InFlight {
             waiting,
             slot,
             cost,
-            admitted: now,
-            started: None,
+            admitted_at: now,
+            first_byte_at: None,
             received_tokens: 0,
             measured_since: now,
             uncached,
         };
-        let previous = self.flights.insert(request, flight);
+        let previous = self.in_flight.insert(request, in_flight);
         assert!(previous.is_none(), "request {request} was admitted twice");
         self.effects.push(Effect::Admit(request, name));
     }
 
     /// Removes an admitted request and frees what it occupied at its endpoint.
-    pub(crate) fn remove_flight(&mut self, request: id::Request) -> Option<Flight> {
-        let flight = self.flights.remove(&request)?;
-        let slot = flight.slot;
+    pub(crate) fn remove_in_flight(&mut self, request: id::Request) -> Option<InFlight> {
+        let in_flight = self.in_flight.remove(&request)?;
+        let slot = in_flight.slot;
         let endpoint = self.fleet.get_mut(slot)?;
         assert!(
-            endpoint.own_tokens >= flight.cost,
+            endpoint.own_tokens >= in_flight.cost,
             "request {request} holds more tokens than are in flight at its endpoint"
         );
         assert!(
             endpoint.own_requests > 0,
             "request {request} ends at an endpoint without requests in flight"
         );
-        endpoint.own_tokens -= flight.cost;
-        endpoint.own_tokens_by_tier[fleet::tier_index(flight.waiting.profile.tier)] -= flight.cost;
-        if flight.started.is_none() {
-            endpoint.pending_prompt_tokens -= flight.uncached;
+        endpoint.own_tokens -= in_flight.cost;
+        endpoint.own_tokens_by_tier[fleet::tier_index(in_flight.waiting.profile.tier)] -=
+            in_flight.cost;
+        if in_flight.first_byte_at.is_none() {
+            endpoint.pending_prompt_tokens -= in_flight.uncached;
         }
         endpoint.own_requests -= 1;
         if endpoint.reserved == Some(request) {
@@ -237,13 +240,14 @@
         if self.fleet.release(slot) {
             self.prefixes.remove_endpoint(slot);
         }
-        Some(flight)
+        Some(in_flight)
     }
 
-    /// Refuses a request that no queue holds.
-    pub(crate) fn refuse(&mut self, request: id::Request, reason: Reason, after: Duration) {
+    /// Refuses a request that is in no queue; `delay` is the `retry_after` before
+    /// bounds and jitter.
+    pub(crate) fn refuse(&mut self, request: id::Request, reason: Reason, delay: Duration) {
         let spread = self.rng.random_range(1.0..1.0 + RETRY_JITTER);
-        let retry_after = after
+        let retry_after = delay
             .clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY)
             .mul_f64(spread);
         let refusal = Refusal {
@@ -266,9 +270,9 @@
     /// Refuses the waiting requests whose deadline can't be met any more.
     pub(crate) fn expire(&mut self, now: time::Instant, service: &id::Service) {
         let mut overdue = self.overdue_suspects(now, service);
-        let lanes = self.backlogs.get(service).map(|backlog| &backlog.lanes);
-        for lane in lanes.into_iter().flat_map(|lanes| lanes.values()) {
-            for (admit_by, request) in lane.queue.by_deadline() {
+        let by_model = self.backlogs.get(service).map(|backlog| &backlog.by_model);
+        for model_backlog in by_model.into_iter().flat_map(|by_model| by_model.values()) {
+            for (admit_by, request) in model_backlog.queue.by_deadline() {
                 if admit_by > now {
                     break;
                 }
@@ -307,10 +311,10 @@
         request: id::Request,
     ) -> Option<Waiting> {
         let waiting = self.waiting.remove(&request)?;
-        let lane = self.lane(&waiting.profile);
-        let waited = !lane.queue.is_empty();
-        lane.record_admission(now, 0, waited);
-        lane.queue.remove(request);
+        let model_backlog = self.model_backlog(&waiting.profile);
+        let waited = !model_backlog.queue.is_empty();
+        model_backlog.record_admission(now, 0, waited);
+        model_backlog.queue.remove(request);
         let service = &waiting.profile.service;
         let reserved = self.isolation.remove(service, request);
         if let Some(endpoint) = reserved.and_then(|slot| self.fleet.get_mut(slot)) {
@@ -319,20 +323,24 @@
         Some(waiting)
     }
 
-    /// Returns the lane of the request's service and model.
-    pub(crate) fn lane(&mut self, profile: &Profile) -> &mut Lane {
+    /// Returns the backlog of the request's service and model.
+    pub(crate) fn model_backlog(&mut self, profile: &Profile) -> &mut ModelBacklog {
         let backlog = self.backlogs.entry(profile.service.clone()).or_default();
-        backlog.lanes.entry(profile.model.clone()).or_default()
+        backlog.by_model.entry(profile.model.clone()).or_default()
     }
 
     /// Removes a request from its queue in order to admit it.
     fn dequeue(&mut self, now: time::Instant, request: id::Request) -> Option<Waiting> {
         let waiting = self.waiting.remove(&request)?;
-        let lane = self.lane(&waiting.profile);
-        let waited = !lane.queue.is_empty();
-        if lane.queue.peek().is_some_and(|(_, next)| next == request) {
-            lane.queue.pop();
-            lane.record_admission(now, waiting.work, waited);
+        let model_backlog = self.model_backlog(&waiting.profile);
+        let waited = !model_backlog.queue.is_empty();
+        if model_backlog
+            .queue
+            .peek()
+            .is_some_and(|(_, next)| next == request)
+        {
+            model_backlog.queue.pop();
+            model_backlog.record_admission(now, waiting.work, waited);
         }
         Some(waiting)
     }
@@ -376,8 +384,8 @@
     /// Returns the estimated wait of a request if it arrived now.
     fn estimated_wait(&mut self, waiting: &Waiting) -> Duration {
         let profile = &waiting.profile;
-        let lane = self.lane(profile);
-        let wait = lane.estimated_wait(profile.tier, &profile.workspace, waiting.share);
+        let model_backlog = self.model_backlog(profile);
+        let wait = model_backlog.estimated_wait(profile.tier, &profile.workspace, waiting.share);
         wait.unwrap_or(MIN_RETRY_DELAY)
     }
 }
--- a/lib/src/backlog.rs
+++ b/lib/src/backlog.rs
@@ -12,9 +12,9 @@
 /// Most requests that may wait for one service at one node.
 pub const MAX_WAITING: usize = 4096;
 
-/// The queue of one model of a service, with its observed rates.
+/// The waiting requests for one model of a service, with the observed rates.
 #[derive(Clone, Debug, Default)]
-pub struct Lane {
+pub struct ModelBacklog {
     /// The waiting requests.
     pub queue: Queue,
     /// Rate of tokens admitted while requests waited.
@@ -27,26 +27,29 @@
     pub first_token_secs: Average,
     /// Average tokens per second of a stream.
     pub tokens_per_sec: Average,
-    /// Average of the tokens generated, relative to the most asked for.
+    /// Average of the tokens generated, relative to the maximum that the request
+    /// allows.
     pub output_ratio: Average,
 }
 
-impl Lane {
+impl ModelBacklog {
     /// Records the cost of an arriving request in tokens.
     pub fn record_arrival(&mut self, now: time::Instant, tier: id::Tier, cost: u64) {
         let meter = self.arrivals.entry(tier).or_default();
         meter.record(now, cost, true);
     }
 
-    /// Records the tokens admitted, and whether requests waited since the last
-    /// call. It must be called at every change of the queue, with a cost of zero
-    /// if nothing was admitted.
+    /// Records the tokens admitted. `waited` is whether requests have waited since
+    /// the last call, so this must be called at every change of the queue, with
+    /// `waited` as before the change and with a cost of zero if nothing was
+    /// admitted.
     pub fn record_admission(&mut self, now: time::Instant, cost: u64, waited: bool) {
         self.backlogged_admissions.record(now, cost, waited);
         self.admissions.record(now, cost, true);
     }
 
-    /// Returns the estimated wait of a new request, if the rates are known.
+    /// Returns the estimated wait of a new request, or `None` if the rate of
+    /// admissions is unknown.
     #[must_use]
     pub fn estimated_wait(
         &self,
@@ -78,13 +81,14 @@
         Duration::from_secs_f64((first_token_secs + output / tokens_per_sec).min(3600.0))
     }
 
-    /// Returns the expected tokens of an answer that may have `output` tokens.
+    /// Returns the expected tokens of an answer that may have up to `output`
+    /// tokens.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         clippy::cast_precision_loss,
-        reason = "an estimate between zero and the most asked for"
+        reason = "an estimate between zero and `output`"
     )]
     pub fn expected_output(&self, output: u64) -> u64 {
         let output_ratio = self.output_ratio.get().unwrap_or(1.0).clamp(0.0, 1.0);
@@ -92,30 +96,38 @@
     }
 }
 
-/// The lanes of one service, by model.
+/// The waiting requests of one service, by model.
 #[derive(Clone, Debug, Default)]
 pub struct Backlog {
-    /// The lanes by model; `None` for requests that name no model.
-    pub lanes: BTreeMap<Option<id::Model>, Lane>,
+    /// The backlogs by model; `None` for requests that name no model.
+    pub by_model: BTreeMap<Option<id::Model>, ModelBacklog>,
 }
 
 impl Backlog {
     /// Returns the number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.lanes.values().map(|lane| lane.queue.len()).sum()
+        self.by_model
+            .values()
+            .map(|backlog| backlog.queue.len())
+            .sum()
     }
 
     /// Returns whether no request waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.lanes.values().all(|lane| lane.queue.is_empty())
+        self.by_model
+            .values()
+            .all(|backlog| backlog.queue.is_empty())
     }
 
     /// Returns the request to evict first and its tier.
     #[must_use]
     pub fn victim(&self) -> Option<(id::Tier, id::Request)> {
-        let victims = self.lanes.values().filter_map(|lane| lane.queue.victim());
+        let victims = self
+            .by_model
+            .values()
+            .filter_map(|backlog| backlog.queue.victim());
         victims.max_by_key(|(tier, _)| *tier)
     }
 
@@ -124,11 +136,11 @@
     #[must_use]
     pub fn next(&self, blocked: &[Option<id::Model>]) -> Option<(Option<id::Model>, id::Request)> {
         let mut best: Option<(id::Tier, &Option<id::Model>, id::Request)> = None;
-        for (model, lane) in &self.lanes {
-            let Some((tier, request)) = lane.queue.peek() else {
+        for (model, backlog) in &self.by_model {
+            let Some((tier, request)) = backlog.queue.peek() else {
                 continue;
             };
-            if blocked.contains(model) || best.is_some_and(|(known, ..)| known <= tier) {
+            if blocked.contains(model) || best.is_some_and(|(highest, ..)| highest <= tier) {
                 continue;
             }
             best = Some((tier, model, request));
--- a/lib/src/flight.rs
+++ b/lib/src/flight.rs
@@ -18,7 +18,7 @@
     pub work: u64,
     /// Expected tokens of its answer.
     pub expected_output: u64,
-    /// Its workspace's share.
+    /// Fair-share weight of its workspace.
     pub share: u32,
     /// Latest time of admission that leaves enough time for its answer.
     pub admit_by: time::Instant,
@@ -42,21 +42,21 @@
 
 /// A request in flight: admitted to an endpoint and not ended.
 #[derive(Clone, Debug)]
-pub struct Flight {
-    /// Its state before it was admitted, for the case that it must wait again.
+pub struct InFlight {
+    /// Its entry as a waiting request, for the case that it must wait again.
     pub waiting: Waiting,
     /// Slot of its endpoint.
     pub slot: fleet::Slot,
     /// Tokens counted for it at the endpoint.
     pub cost: u64,
     /// When it was admitted.
-    pub admitted: time::Instant,
-    /// When the first byte of the answer was received.
-    pub started: Option<time::Instant>,
+    pub admitted_at: time::Instant,
+    /// When the first byte of the answer was received; `None` until then.
+    pub first_byte_at: Option<time::Instant>,
     /// Prompt tokens that the endpoint's cache is not known to hold.
     pub uncached: u64,
-    /// Tokens received since the speed was last measured.
+    /// Tokens received since `measured_since`.
     pub received_tokens: u64,
-    /// Time from which `received_tokens` counts.
+    /// When the speed of the answer's stream was last measured.
     pub measured_since: time::Instant,
 }
--- a/lib/src/health.rs
+++ b/lib/src/health.rs
@@ -8,7 +8,7 @@
     endpoint::{Cache, Load, Record},
     event::Outcome,
     fleet::{AVOID_PERIOD, Health, Slot},
-    flight::Flight,
+    flight::InFlight,
     id,
     scheduler::Scheduler,
     size, time,
@@ -69,7 +69,7 @@
         self.share_windows();
     }
 
-    /// Tells every window its share for the current number of nodes.
+    /// Divides every configured window among the current number of nodes.
     fn share_windows(&mut self) {
         let nodes = u64::try_from(self.members.len()).unwrap_or(u64::MAX);
         for slot in self.fleet.slots() {
@@ -103,23 +103,23 @@
         }
     }
 
-    /// Records the first byte of an answer.
+    /// Records the first byte of an answer, which counts as its first token.
     pub(crate) fn record_first_byte(&mut self, now: time::Instant, request: id::Request) {
-        let Some(flight) = self.flights.get_mut(&request) else {
+        let Some(in_flight) = self.in_flight.get_mut(&request) else {
             return;
         };
-        if flight.started.is_some() {
+        if in_flight.first_byte_at.is_some() {
             return;
         }
-        flight.started = Some(now);
-        let took = now.since(flight.admitted);
-        flight.measured_since = now;
-        let (slot, uncached) = (flight.slot, flight.uncached);
+        in_flight.first_byte_at = Some(now);
+        let took = now.since(in_flight.admitted_at);
+        in_flight.measured_since = now;
+        let (slot, uncached) = (in_flight.slot, in_flight.uncached);
         if let Some(endpoint) = self.fleet.get_mut(slot) {
             endpoint.pending_prompt_tokens -= uncached;
         }
-        let profile = Arc::clone(&flight.waiting.profile);
-        self.lane(&profile)
+        let profile = Arc::clone(&in_flight.waiting.profile);
+        self.model_backlog(&profile)
             .first_token_secs
             .record(took.as_secs_f64());
     }
@@ -131,22 +131,22 @@
         request: id::Request,
         more: size::Tokens,
     ) {
-        let Some(flight) = self.flights.get_mut(&request) else {
+        let Some(in_flight) = self.in_flight.get_mut(&request) else {
             return;
         };
-        if flight.waiting.kind == configuration::Kind::Plain {
+        if in_flight.waiting.kind == configuration::Kind::Plain {
             return;
         }
-        flight.received_tokens += more.0;
-        let span = now.since(flight.measured_since);
+        in_flight.received_tokens += more.0;
+        let span = now.since(in_flight.measured_since);
         if span < MIN_SPEED_SPAN {
             return;
         }
         #[expect(clippy::cast_precision_loss, reason = "a rate")]
-        let rate = flight.received_tokens as f64 / span.as_secs_f64();
-        flight.measured_since = now;
-        flight.received_tokens = 0;
-        if let Some(endpoint) = self.fleet.get_mut(flight.slot) {
+        let rate = in_flight.received_tokens as f64 / span.as_secs_f64();
+        in_flight.measured_since = now;
+        in_flight.received_tokens = 0;
+        if let Some(endpoint) = self.fleet.get_mut(in_flight.slot) {
             endpoint.window.record_speed(now, rate);
         }
     }
@@ -158,19 +158,19 @@
         request: id::Request,
         outcome: Outcome,
     ) {
-        let Some(flight) = self.remove_flight(request) else {
+        let Some(in_flight) = self.remove_in_flight(request) else {
             return;
         };
         match outcome {
             Outcome::Answered { cached, output } => {
-                self.record_first_token(now, &flight, cached);
-                self.record_answer(now, &flight, output);
+                self.record_first_token(now, &in_flight, cached);
+                self.record_answer(now, &in_flight, output);
             }
             Outcome::Cancelled => {}
-            Outcome::Rejected => self.record_rejection(now, flight.slot),
-            Outcome::Broken | Outcome::Stalled => self.record_break(now, &flight),
+            Outcome::Rejected => self.record_rejection(now, in_flight.slot),
+            Outcome::Broken | Outcome::Stalled => self.record_break(now, &in_flight),
         }
-        let service = &flight.waiting.profile.service;
+        let service = &in_flight.waiting.profile.service;
         self.admit_waiting(now, service);
     }
 
@@ -212,15 +212,15 @@
 
     /// Decreases the windows of endpoints whose first tokens are overdue.
     fn check_overdue_first_tokens(&mut self, now: time::Instant) {
-        for flight in self.flights.values() {
-            if flight.started.is_some() {
+        for in_flight in self.in_flight.values() {
+            if in_flight.first_byte_at.is_some() {
                 continue;
             }
-            let Some(endpoint) = self.fleet.get_mut(flight.slot) else {
+            let Some(endpoint) = self.fleet.get_mut(in_flight.slot) else {
                 continue;
             };
-            let expected = endpoint.window.prefill_time(flight.uncached);
-            if now.since(flight.admitted) > expected + FIRST_TOKEN_TARGET {
+            let expected = endpoint.window.prefill_time(in_flight.uncached);
+            if now.since(in_flight.admitted_at) > expected + FIRST_TOKEN_TARGET {
                 endpoint.window.record_queueing(now);
             }
         }
@@ -250,34 +250,39 @@
     }
 
     /// Records the time to the first token of an answered request.
-    fn record_first_token(&mut self, now: time::Instant, flight: &Flight, cached: size::Tokens) {
-        let Some(started) = flight.started else {
+    fn record_first_token(
+        &mut self,
+        now: time::Instant,
+        in_flight: &InFlight,
+        cached: size::Tokens,
+    ) {
+        let Some(first_byte_at) = in_flight.first_byte_at else {
             return;
         };
-        let took = started.since(flight.admitted);
-        let prompt = flight.waiting.profile.prompt;
-        if let Some(endpoint) = self.fleet.get_mut(flight.slot) {
+        let took = first_byte_at.since(in_flight.admitted_at);
+        let prompt = in_flight.waiting.profile.prompt;
+        if let Some(endpoint) = self.fleet.get_mut(in_flight.slot) {
             let uncached = prompt.saturating_sub(cached);
             endpoint.window.record_first_token(now, took, uncached.0);
         }
     }
 
     /// Records the length and speed of a complete answer.
-    fn record_answer(&mut self, now: time::Instant, flight: &Flight, output: size::Tokens) {
-        let profile = &flight.waiting.profile;
+    fn record_answer(&mut self, now: time::Instant, in_flight: &InFlight, output: size::Tokens) {
+        let profile = &in_flight.waiting.profile;
         self.marks.record_answer(now, profile.fingerprint);
-        let Some(started) = flight.started else {
+        let Some(first_byte_at) = in_flight.first_byte_at else {
             return;
         };
-        let took = now.since(started).as_secs_f64();
-        let lane = self.lane(profile);
+        let took = now.since(first_byte_at).as_secs_f64();
+        let model_backlog = self.model_backlog(profile);
         #[expect(clippy::cast_precision_loss, reason = "rates and ratios")]
         let (output, most) = (output.0 as f64, profile.output.0 as f64);
         if most > 0.0 {
-            lane.output_ratio.record((output / most).min(1.0));
+            model_backlog.output_ratio.record((output / most).min(1.0));
         }
         if took > 0.0 && output > 1.0 {
-            lane.tokens_per_sec.record(output / took);
+            model_backlog.tokens_per_sec.record(output / took);
         }
     }
 
@@ -293,14 +298,14 @@
 
     /// Marks a request whose connection broke or stalled and has its endpoint
     /// probed.
-    fn record_break(&mut self, now: time::Instant, flight: &Flight) {
-        let fingerprint = flight.waiting.profile.fingerprint;
-        if let Some(endpoint) = self.fleet.get_mut(flight.slot) {
+    fn record_break(&mut self, now: time::Instant, in_flight: &InFlight) {
+        let fingerprint = in_flight.waiting.profile.fingerprint;
+        if let Some(endpoint) = self.fleet.get_mut(in_flight.slot) {
             endpoint.broken_fingerprints.insert(fingerprint);
         }
         let mark = self.marks.record_break(now, fingerprint);
         self.effects.push(Effect::Quarantine(mark));
-        self.request_probe(now, flight.slot);
+        self.request_probe(now, in_flight.slot);
     }
 
     /// Probes dead endpoints and those whose pending probe timed out.
--- a/lib/src/scheduler.rs
+++ b/lib/src/scheduler.rs
@@ -12,7 +12,7 @@
     effect::Effect,
     event::Event,
     fleet::{Fleet, Slot},
-    flight::{Flight, Waiting},
+    flight::{InFlight, Waiting},
     id,
     isolation::Isolation,
     quarantine::Marks,
@@ -48,19 +48,27 @@
 #[derive(Debug)]
 pub struct Scheduler {
     pub(crate) settings: Settings,
+    /// The configuration in force; `None` until the first one was received.
     pub(crate) configuration: Option<Arc<configuration::Configuration>>,
     pub(crate) fleet: Fleet,
     pub(crate) backlogs: BTreeMap<id::Service, Backlog>,
+    /// Waiting requests, queued in `backlogs` or in `isolation`.
     pub(crate) waiting: BTreeMap<id::Request, Waiting>,
-    pub(crate) flights: BTreeMap<id::Request, Flight>,
+    /// Admitted requests that have not ended.
+    pub(crate) in_flight: BTreeMap<id::Request, InFlight>,
     pub(crate) prefixes: affinity::Index,
     pub(crate) isolation: Isolation,
     pub(crate) marks: Marks,
+    /// Last death of each endpoint that died recently.
     pub(crate) deaths: BTreeMap<Slot, time::Instant>,
+    /// The live nodes, this one included, with their data centres.
     pub(crate) members: Vec<(id::Node, id::DataCentre)>,
     pub(crate) rng: SmallRng,
+    /// Number of choices made by the round-robin policy.
     pub(crate) round_robin_turn: u64,
+    /// Whether the node is shutting down.
     pub(crate) draining: bool,
+    /// Effects of the current event, returned by [`Scheduler::handle`].
     pub(crate) effects: Vec<Effect>,
 }
 
@@ -75,7 +83,7 @@
             fleet: Fleet::default(),
             backlogs: BTreeMap::new(),
             waiting: BTreeMap::new(),
-            flights: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             prefixes: affinity::Index::default(),
             isolation: Isolation::default(),
             marks: Marks::default(),
@@ -127,6 +135,6 @@
     /// Returns the number of admitted requests that have not ended.
     #[must_use]
     pub fn running(&self) -> usize {
-        self.flights.len()
+        self.in_flight.len()
     }
 }
--- a/lib/src/suspects.rs
+++ b/lib/src/suspects.rs
@@ -180,8 +180,12 @@
         if others > MAX_OTHER_DEATHS {
             return;
         }
-        for flight in self.flights.values().filter(|flight| flight.slot == slot) {
-            suspects.insert(flight.waiting.profile.fingerprint);
+        for in_flight in self
+            .in_flight
+            .values()
+            .filter(|in_flight| in_flight.slot == slot)
+        {
+            suspects.insert(in_flight.waiting.profile.fingerprint);
         }
         for fingerprint in suspects {
             for mark in self.marks.record_death(now, fingerprint, &name) {
