--- a/lib/src/budget.rs
+++ b/lib/src/budget.rs
@@ -1,7 +1,7 @@
 //! Retry budget, enforced by all nodes together.
 //!
-//! Nodes need not exchange messages for it: each has what its own requests earn
-//! and an equal part of the fixed allowance.
+//! Nodes exchange no messages for the budget: each may use what its own requests
+//! earn and an equal part of the fixed allowance.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -26,9 +26,10 @@
     pub window: Duration,
 }
 
-/// Remaining retries of one service.
+/// Token bucket of one service.
 #[derive(Clone, Copy, Debug)]
-struct Account {
+struct Bucket {
+    /// Remaining retries.
     level: f64,
     refilled: time::Instant,
 }
@@ -37,8 +38,9 @@
 #[derive(Clone, Debug)]
 pub struct Budget {
     limits: Limits,
+    /// Nodes that share the allowance, this one included.
     nodes: f64,
-    accounts: BTreeMap<id::Service, Account>,
+    buckets: BTreeMap<id::Service, Bucket>,
 }
 
 impl Budget {
@@ -48,7 +50,7 @@
         Self {
             limits,
             nodes: 1.0,
-            accounts: BTreeMap::new(),
+            buckets: BTreeMap::new(),
         }
     }
 
@@ -66,37 +68,39 @@
     pub fn record_request(&mut self, now: time::Instant, service: &id::Service) {
         let earned = self.limits.ratio * EARNED_FRACTION;
         let cap = self.cap() + earned * self.limits.window.as_secs_f64();
-        let account = self.account(now, service);
-        account.level = (account.level + earned).min(cap);
+        let bucket = self.refilled_bucket(now, service);
+        bucket.level = (bucket.level + earned).min(cap);
     }
 
     /// Takes one retry from the budget. Returns false if none is left.
     pub fn spend(&mut self, now: time::Instant, service: &id::Service) -> bool {
-        let account = self.account(now, service);
-        if account.level < 1.0 {
+        let bucket = self.refilled_bucket(now, service);
+        if bucket.level < 1.0 {
             return false;
         }
-        account.level -= 1.0;
+        bucket.level -= 1.0;
         true
     }
 
-    /// Returns the part of the allowance that this node may use at once.
+    /// Returns the retries of the allowance that this node may use at once.
     fn cap(&self) -> f64 {
         self.limits.allowance * ALLOWANCE_FRACTION / self.nodes
     }
 
-    fn account(&mut self, now: time::Instant, service: &id::Service) -> &mut Account {
+    /// Returns a service's bucket, refilled with its part of the allowance for the
+    /// time since the last call.
+    fn refilled_bucket(&mut self, now: time::Instant, service: &id::Service) -> &mut Bucket {
         let cap = self.cap();
         let window = self.limits.window.as_secs_f64().max(1.0);
-        let account = self.accounts.entry(service.clone()).or_insert(Account {
+        let bucket = self.buckets.entry(service.clone()).or_insert(Bucket {
             level: cap,
             refilled: now,
         });
-        let idle = now.since(account.refilled).as_secs_f64();
-        account.refilled = now;
-        if account.level < cap {
-            account.level = (account.level + cap * idle / window).min(cap);
+        let idle = now.since(bucket.refilled).as_secs_f64();
+        bucket.refilled = now;
+        if bucket.level < cap {
+            bucket.level = (bucket.level + cap * idle / window).min(cap);
         }
-        account
+        bucket
     }
 }
--- a/lib/src/quota.rs
+++ b/lib/src/quota.rs
@@ -63,18 +63,18 @@
     pub fraction: f64,
     /// Further tolerated units in each window.
     pub excess: f64,
-    /// The window over which use is measured. If it is zero, a quota is a plain
-    /// token bucket without tolerance.
+    /// Length of the window over which use is measured. If it is zero, a quota is
+    /// a plain token bucket without tolerance.
     pub window: Duration,
 }
 
 impl Tolerance {
-    /// Returns the rate and the size of a workspace's bucket.
+    /// Returns the rate, in units per second, and the size of a workspace's bucket.
     ///
     /// A workspace with constant excess demand gets in each window what rate
     /// and burst allow, plus a small part of the tolerance; the bucket's size
     /// takes up the rest.
-    fn bucket(&self, quota: &Quota) -> (f64, f64) {
+    fn rate_and_size(&self, quota: &Quota) -> (f64, f64) {
         if self.window.is_zero() {
             return (quota.rate, quota.burst);
         }
@@ -107,7 +107,7 @@
     pub level: f64,
     /// Units that this node admitted since its last report to the others.
     pub unreported: f64,
-    /// This node's share of the remaining units.
+    /// This node's share of the remaining units, as a fraction.
     pub share: f64,
     /// Fraction of the rate reserved for nodes whose reports have stopped.
     pub silent_share: f64,
@@ -115,24 +115,26 @@
     pub retry_after: Duration,
 }
 
-/// Use of one workspace at this node, and its copy of the bucket.
+/// This node's copy of one workspace's token bucket, and its own use of it.
 #[derive(Clone, Debug, Default)]
-struct Account {
-    /// Remaining units; negative after a large request.
+struct Bucket {
+    /// Remaining units, negative after a large request; `None` until this node
+    /// first uses the bucket.
     level: Option<f64>,
     refilled: time::Instant,
-    /// Rate and size of the bucket at the last request.
-    bucket: (f64, f64),
-    own: Usage,
+    /// Units per second and size, as of the last request.
+    rate_and_size: (f64, f64),
+    own_usage: Usage,
     demand_updated: time::Instant,
     /// Units admitted since the last report to the others.
     unreported: f64,
 }
 
-impl Account {
+impl Bucket {
+    /// Decays the averaged demand to the present.
     fn decay(&mut self, now: time::Instant) {
         let idle = now.since(self.demand_updated).as_secs_f64();
-        self.own.demand *= (-idle / DEMAND_TIME_CONSTANT.as_secs_f64()).exp();
+        self.own_usage.demand *= (-idle / DEMAND_TIME_CONSTANT.as_secs_f64()).exp();
         self.demand_updated = now;
     }
 
@@ -142,7 +144,7 @@
     fn refill(&mut self, now: time::Instant, silent: f64, initial: f64) -> f64 {
         let idle = now.since(self.refilled).as_secs_f64();
         self.refilled = now;
-        let (rate, size) = self.bucket;
+        let (rate, size) = self.rate_and_size;
         let level = match self.level {
             Some(level) => level + rate * (1.0 - silent).max(0.0) * idle,
             None => size * initial,
@@ -152,8 +154,8 @@
         level
     }
 
-    /// Deducts what another node admitted. A bucket that was not used yet is
-    /// left alone; it starts low instead.
+    /// Deducts what another node admitted. A bucket that this node has not used
+    /// yet stays unchanged; it starts low instead.
     fn deduct(&mut self, now: time::Instant, units: f64) {
         if self.level.is_some() {
             self.level = Some(self.refill(now, 0.0, 0.0) - units);
@@ -164,8 +166,10 @@
 /// The last report of another node.
 #[derive(Clone, Debug, Default)]
 struct Peer {
+    /// Identifies the node's process; zero until its first report.
     incarnation: u64,
-    heard: time::Instant,
+    /// When its last report arrived, or when the node was first listed.
+    last_report_at: time::Instant,
     /// Whether its reports have stopped for so long that its share is reserved.
     silent: bool,
     usage: BTreeMap<id::Workspace, Usage>,
@@ -177,7 +181,7 @@
     tolerance: Tolerance,
     /// Time at which the list of nodes was first set.
     started: Option<time::Instant>,
-    accounts: BTreeMap<id::Workspace, Account>,
+    buckets: BTreeMap<id::Workspace, Bucket>,
     peers: BTreeMap<id::Node, Peer>,
 }
 
@@ -204,7 +208,7 @@
         for node in nodes {
             if !self.peers.contains_key(node) {
                 let peer = Peer {
-                    heard: now,
+                    last_report_at: now,
                     ..Peer::default()
                 };
                 self.peers.insert(node.clone(), peer);
@@ -233,27 +237,27 @@
                 _ if first_report => reported.admitted,
                 _ => 0.0,
             };
-            let account = self.accounts.entry(workspace.clone()).or_default();
+            let bucket = self.buckets.entry(workspace.clone()).or_default();
             let reserved = reserved.get(workspace).copied().unwrap_or_default();
-            account.deduct(now, (reported.admitted - before - reserved).max(0.0));
+            bucket.deduct(now, (reported.admitted - before - reserved).max(0.0));
         }
         peer.incarnation = incarnation;
-        peer.heard = now;
+        peer.last_report_at = now;
         peer.silent = false;
         peer.usage = usage;
     }
 
-    /// Returns the units reserved for a silent node since its last report, by
-    /// workspace.
+    /// Returns the units reserved for a node since its last report, by workspace;
+    /// none unless the node is silent.
     fn reserved_for(&self, now: time::Instant, node: &id::Node) -> BTreeMap<id::Workspace, f64> {
         let mut reserved = BTreeMap::new();
         let Some(peer) = self.peers.get(node).filter(|peer| peer.silent) else {
             return reserved;
         };
-        let span = now.since(peer.heard).as_secs_f64();
-        for (workspace, account) in &self.accounts {
-            let share = self.share(workspace, peer, account.own.demand);
-            reserved.insert(workspace.clone(), account.bucket.0 * share * span);
+        let span = now.since(peer.last_report_at).as_secs_f64();
+        for (workspace, bucket) in &self.buckets {
+            let share = self.share(workspace, peer, bucket.own_usage.demand);
+            reserved.insert(workspace.clone(), bucket.rate_and_size.0 * share * span);
         }
         reserved
     }
@@ -263,15 +267,15 @@
     fn mark_silent_peers(&mut self, now: time::Instant) {
         let mut silent = Vec::new();
         for (name, peer) in &mut self.peers {
-            if !peer.silent && now.since(peer.heard) > SILENCE_TIMEOUT {
+            if !peer.silent && now.since(peer.last_report_at) > SILENCE_TIMEOUT {
                 peer.silent = true;
                 silent.push(name.clone());
             }
         }
         for name in silent {
             for (workspace, units) in self.reserved_for(now, &name) {
-                if let Some(account) = self.accounts.get_mut(&workspace) {
-                    account.deduct(now, units);
+                if let Some(bucket) = self.buckets.get_mut(&workspace) {
+                    bucket.deduct(now, units);
                 }
             }
         }
@@ -281,10 +285,10 @@
     pub fn take_usage(&mut self, now: time::Instant) -> BTreeMap<id::Workspace, Usage> {
         self.mark_silent_peers(now);
         let mut usage = BTreeMap::new();
-        for (name, account) in &mut self.accounts {
-            account.decay(now);
-            account.unreported = 0.0;
-            usage.insert(name.clone(), account.own);
+        for (name, bucket) in &mut self.buckets {
+            bucket.decay(now);
+            bucket.unreported = 0.0;
+            usage.insert(name.clone(), bucket.own_usage);
         }
         usage
     }
@@ -303,36 +307,36 @@
     ) -> Result<(), Exhausted> {
         #[expect(clippy::cast_precision_loss, reason = "requests are small")]
         let cost = cost as f64;
-        let account = self.accounts.entry(workspace.clone()).or_default();
-        account.decay(now);
-        account.own.demand += cost / DEMAND_TIME_CONSTANT.as_secs_f64();
-        let demand = account.own.demand;
+        let bucket = self.buckets.entry(workspace.clone()).or_default();
+        bucket.decay(now);
+        bucket.own_usage.demand += cost / DEMAND_TIME_CONSTANT.as_secs_f64();
+        let demand = bucket.own_usage.demand;
         let (share, silent) = self.shares(workspace, demand);
         let peer_admissions = self.unreported_by_peers(now, workspace);
-        let bucket = self.tolerance.bucket(quota);
-        let initial = self.initial_fraction(now, workspace, bucket.0);
-        let account = self.accounts.entry(workspace.clone()).or_default();
-        account.bucket = bucket;
-        let level = account.refill(now, silent, initial);
+        let rate_and_size = self.tolerance.rate_and_size(quota);
+        let initial = self.initial_fraction(now, workspace, rate_and_size.0);
+        let bucket = self.buckets.entry(workspace.clone()).or_default();
+        bucket.rate_and_size = rate_and_size;
+        let level = bucket.refill(now, silent, initial);
         // `level` no longer contains what was admitted since the last report.
-        let level_at_report = level + account.unreported;
+        let level_at_report = level + bucket.unreported;
         let covered = level - peer_admissions >= cost;
-        let within_share = level >= cost.min(bucket.1 * LARGE_REQUEST_FRACTION)
-            && account.unreported < level_at_report * share;
+        let within_share = level >= cost.min(rate_and_size.1 * LARGE_REQUEST_FRACTION)
+            && bucket.unreported < level_at_report * share;
         if !covered && !within_share {
-            let missing = (cost - level).max(0.0) / bucket.0.max(1.0);
+            let missing = (cost - level).max(0.0) / rate_and_size.0.max(1.0);
             let wait = Duration::try_from_secs_f64(missing).unwrap_or(RETRY_AFTER.1);
             return Err(Exhausted {
                 level,
-                unreported: account.unreported,
+                unreported: bucket.unreported,
                 share,
                 silent_share: silent,
                 retry_after: wait.clamp(RETRY_AFTER.0, RETRY_AFTER.1),
             });
         }
-        account.level = Some(level - cost);
-        account.unreported += cost;
-        account.own.admitted += cost;
+        bucket.level = Some(level - cost);
+        bucket.unreported += cost;
+        bucket.own_usage.admitted += cost;
         Ok(())
     }
 
@@ -357,34 +361,35 @@
             if peer.silent {
                 continue;
             }
-            units += peer.demand(workspace) * now.since(peer.heard).as_secs_f64();
+            units += peer.demand(workspace) * now.since(peer.last_report_at).as_secs_f64();
         }
         units
     }
 
-    /// Returns this node's share, and the share of the silent nodes.
-    fn shares(&self, workspace: &id::Workspace, own: f64) -> (f64, f64) {
+    /// Returns this node's share and the sum of the silent nodes' shares;
+    /// `own_demand` is this node's demand.
+    fn shares(&self, workspace: &id::Workspace, own_demand: f64) -> (f64, f64) {
         let mut silent = 0.0;
         for peer in self.peers.values() {
             if peer.silent {
-                silent += self.share(workspace, peer, own);
+                silent += self.share(workspace, peer, own_demand);
             }
         }
-        let (total, nodes) = self.demand(workspace, own);
-        (demand_share(own, total, nodes), silent)
+        let (total, nodes) = self.demand(workspace, own_demand);
+        (demand_share(own_demand, total, nodes), silent)
     }
 
-    /// Returns another node's share; `own` is this node's demand.
-    fn share(&self, workspace: &id::Workspace, peer: &Peer, own: f64) -> f64 {
-        let (total, nodes) = self.demand(workspace, own);
+    /// Returns another node's share; `own_demand` is this node's demand.
+    fn share(&self, workspace: &id::Workspace, peer: &Peer, own_demand: f64) -> f64 {
+        let (total, nodes) = self.demand(workspace, own_demand);
         demand_share(peer.demand(workspace), total, nodes)
     }
 
-    /// Returns the demand of all nodes and their number.
-    fn demand(&self, workspace: &id::Workspace, own: f64) -> (f64, f64) {
+    /// Returns the demand of all nodes, in units per second, and their number.
+    fn demand(&self, workspace: &id::Workspace, own_demand: f64) -> (f64, f64) {
         let others = self.peers.values().map(|peer| peer.demand(workspace));
         let nodes = u32::try_from(self.peers.len() + 1).unwrap_or(u32::MAX);
-        (own + others.sum::<f64>(), f64::from(nodes))
+        (own_demand + others.sum::<f64>(), f64::from(nodes))
     }
 }
 
@@ -394,7 +399,8 @@
     }
 }
 
-/// Returns the share for this demand.
+/// Returns the share of a node with this demand: a part that is equal for all
+/// nodes and a part in proportion to the demand.
 fn demand_share(demand: f64, total: f64, nodes: f64) -> f64 {
     let part = (demand / total.max(f64::MIN_POSITIVE)).clamp(0.0, 1.0);
     EQUAL_FRACTION / nodes + (1.0 - EQUAL_FRACTION) * part
