--- a/lib/src/membership.rs
+++ b/lib/src/membership.rs
@@ -83,7 +83,7 @@
     pub node: id::Node,
     /// Peer address of the node, `ip:port`.
     pub address: String,
-    /// Whether the host list marks it as live or as leaving.
+    /// Whether the host list marks the node as live or as leaving.
     pub standing: endpoint::Standing,
 }
 
@@ -119,6 +119,7 @@
     table: Table,
     gossip: Queue,
     hosts: BTreeMap<id::Node, Host>,
+    /// Fingerprints of crashing requests, with the expiry of each.
     fingerprints: BTreeMap<id::Fingerprint, Instant>,
     /// Nodes that this node contacts itself in the next round, because their
     /// state is in doubt.
@@ -128,7 +129,7 @@
     disputed: BTreeMap<id::Node, Member>,
     /// Members of the last [`Effect::Members`], without suspicions and versions.
     last_announced: Option<Vec<Member>>,
-    /// Running exchanges with their start.
+    /// Nodes with a running exchange, and when it started.
     pending: BTreeMap<id::Node, Instant>,
     last_tick: Instant,
     /// When the full state was last sent or received.
@@ -258,7 +259,7 @@
     }
 
     /// Handles an exchange in which the peer did not answer: the peer becomes a
-    /// suspect.
+    /// suspect if it was alive.
     pub fn handle_failure(&mut self, now: Instant, node: &id::Node) -> Vec<Effect> {
         if self.pending.remove(node).is_none() {
             return Vec::new();
--- a/lib/src/membership/gossip.rs
+++ b/lib/src/membership/gossip.rs
@@ -44,12 +44,12 @@
         }
         order.sort_unstable();
         order.truncate(limit);
-        let mut taken = Vec::new();
+        let mut chosen = Vec::new();
         for (_, update) in order {
-            taken.push(update.clone());
+            chosen.push(update.clone());
         }
         let max_sends = max_sends(nodes);
-        for update in &taken {
+        for update in &chosen {
             let Some(sent) = self.sends.get_mut(update) else {
                 continue;
             };
@@ -58,7 +58,7 @@
                 self.sends.remove(update);
             }
         }
-        taken
+        chosen
     }
 }
 
--- a/lib/src/membership/selection.rs
+++ b/lib/src/membership/selection.rs
@@ -6,7 +6,7 @@
 
 use crate::{id, membership::Membership};
 
-/// Nodes in doubt that this node contacts per round.
+/// Most nodes per round that this node contacts because their state is in doubt.
 const MAX_PROBES_PER_ROUND: usize = 4;
 
 impl Membership {
