--- a/lib/src/balance.rs
+++ b/lib/src/balance.rs
@@ -7,19 +7,19 @@
 
 use crate::{fleet, id, time};
 
-/// Multiple of the mean load that an endpoint may exceed by at most
-/// [`AFFINITY_LOAD_SLACK`] and still be preferred for the prefixes that it caches.
+/// Factor of the mean load in the bound up to which an endpoint is preferred for
+/// the prefixes that it caches: the mean times this, plus [`AFFINITY_LOAD_SLACK`].
 const AFFINITY_LOAD_FACTOR: f64 = 1.25;
 
-/// Load above that multiple up to which cached prefixes still decide. Without
-/// it, an endpoint that is barely loaded would be passed over whenever the
-/// others are idle.
+/// Constant part of that bound, in units of [`Candidate::load`]. Without it, an
+/// endpoint that is barely loaded would be passed over whenever the others are
+/// idle.
 const AFFINITY_LOAD_SLACK: f64 = 1.5;
 
 /// Percentage of the window that each tier may fill, highest tier first.
 const TIER_WINDOW_PERCENT: [u64; fleet::MAX_TIERS] = [150, 110, 95, 80];
 
-/// How a node chooses an endpoint and limits the tokens that it holds there.
+/// How a node chooses an endpoint and limits its tokens in flight there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Policy {
     /// The next endpoint in turn, without a limit; a baseline for experiments.
@@ -57,7 +57,7 @@
     pub used: u64,
     /// Tokens in use by other nodes, by the endpoint's last load report.
     pub other_tokens: u64,
-    /// Limit of the tokens in use, before the tier's percentage.
+    /// Limit of the tokens in use, before the tier's percentage is applied.
     pub limit: u64,
     /// Equal share of the configured window for each node.
     pub node_share: u64,
@@ -109,10 +109,10 @@
 
     /// Returns the tokens in use by all nodes, relative to the node's own limit.
     #[must_use]
-    pub fn total(&self) -> f64 {
+    pub fn total_load(&self) -> f64 {
         #[expect(clippy::cast_precision_loss, reason = "a ratio")]
-        let total = (self.used + self.other_tokens) as f64 / self.limit.max(1) as f64;
-        total
+        let total_load = (self.used + self.other_tokens) as f64 / self.limit.max(1) as f64;
+        total_load
     }
 }
 
@@ -162,14 +162,15 @@
     }
 
     /// Chooses among the candidates that have room, the node's own data centre
-    /// first; `first` is the hash of the prompt's first block.
+    /// first. `turn` counts the choices of [`Policy::RoundRobin`]; `first_block`
+    /// is the hash of the prompt's first block, if the prompt has a complete one.
     #[must_use]
     pub fn choose(
         &self,
         rng: &mut SmallRng,
         turn: &mut u64,
         fitting: &[Candidate],
-        first: Option<id::Prefix>,
+        first_block: Option<id::Prefix>,
     ) -> Option<Candidate> {
         if self.policy == Policy::RoundRobin {
             return next_in_turn(turn, fitting);
@@ -181,12 +182,12 @@
         if self.policy == Policy::LeastLoad {
             return least_loaded(&pool);
         }
-        let Some(first) = first else {
+        let Some(first_block) = first_block else {
             return two_choices(rng, &pool);
         };
         most_cached_within_bound(&pool)
             .or_else(|| most_cached_within_bound(fitting))
-            .or_else(|| rendezvous_choice(first, &pool))
+            .or_else(|| rendezvous_choice(first_block, &pool))
     }
 }
 
@@ -220,7 +221,8 @@
         .copied()
 }
 
-/// Returns the load up to which an endpoint is preferred for cached prefixes.
+/// Returns the load up to which an endpoint is preferred for the prefixes that it
+/// caches.
 fn affinity_load_bound(pool: &[Candidate]) -> f64 {
     let total: f64 = pool.iter().map(Candidate::load).sum();
     #[expect(clippy::cast_precision_loss, reason = "a mean")]
@@ -230,8 +232,9 @@
 
 /// Returns the less loaded of the two endpoints with the highest rendezvous
 /// weights for the prefix, which are the same at all nodes.
-fn rendezvous_choice(first: id::Prefix, pool: &[Candidate]) -> Option<Candidate> {
-    let weight = |each: &Candidate| xxh3::xxh3_64_with_seed(&each.name_hash.to_le_bytes(), first.0);
+fn rendezvous_choice(first_block: id::Prefix, pool: &[Candidate]) -> Option<Candidate> {
+    let weight =
+        |each: &Candidate| xxh3::xxh3_64_with_seed(&each.name_hash.to_le_bytes(), first_block.0);
     let mut ranked = pool.to_vec();
     ranked.sort_by_key(|each| Reverse(weight(each)));
     ranked.truncate(2);
@@ -247,7 +250,7 @@
     let first = pool[index];
     let distance = rng.random_range(1..pool.len().max(2));
     let second = pool[(index + distance) % pool.len()];
-    let better = if second.total() < first.total() {
+    let better = if second.total_load() < first.total_load() {
         second
     } else {
         first
--- a/lib/src/estimate.rs
+++ b/lib/src/estimate.rs
@@ -16,8 +16,11 @@
 /// A rate, as an exponentially decaying average.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Meter {
+    /// Decayed sum of the amounts.
     sum: f64,
+    /// Decayed sum of the observed time, in seconds.
     span: f64,
+    /// Time of the last call of [`Meter::record`].
     last: time::Instant,
 }
 
@@ -54,7 +57,7 @@
     value: Option<f64>,
 }
 
-/// Weight of a new value in an average.
+/// Weight of a new value in an [`Average`].
 const NEW_VALUE_WEIGHT: f64 = 0.1;
 
 impl Average {
@@ -75,7 +78,7 @@
 ///
 /// `ahead` is in tokens. `drain` is the rate at which the backlog is served and
 /// `above` the rate at which work of higher tiers arrives, both in tokens per
-/// second.
+/// second. A wait is at most an hour.
 #[must_use]
 pub fn wait(ahead: u64, drain: Option<f64>, above: f64) -> Option<Duration> {
     let drain = drain.filter(|rate| *rate > 0.0)?;
--- a/lib/src/fair.rs
+++ b/lib/src/fair.rs
@@ -10,7 +10,7 @@
 
 use crate::{id, time};
 
-/// Virtual time that one token takes at a share of one.
+/// Units of virtual time that one token takes at a share of one.
 const VIRTUAL_TIME_PER_TOKEN: u64 = 1 << 20;
 
 /// The properties of a waiting request that decide its order.
@@ -20,7 +20,7 @@
     pub id: id::Request,
     /// Its workspace.
     pub workspace: id::Workspace,
-    /// The workspace's share.
+    /// Fair-share weight of the workspace; it gets service in proportion.
     pub share: u32,
     /// Deadline by which it is ordered within its workspace.
     pub deadline: time::Instant,
@@ -33,12 +33,14 @@
 struct Flow {
     share: u64,
     virtual_start: u64,
+    /// Cost of the waiting requests.
     tokens: u64,
+    /// Cost in tokens of each waiting request, earliest deadline first.
     items: BTreeMap<(time::Instant, id::Request), u64>,
 }
 
 impl Flow {
-    /// Returns the waiting tokens, relative to the share.
+    /// Returns the virtual time that serving all waiting requests takes.
     fn relative_backlog(&self) -> u64 {
         self.tokens.saturating_mul(VIRTUAL_TIME_PER_TOKEN) / self.share.max(1)
     }
@@ -47,13 +49,19 @@
 /// A queue that serves workspaces in proportion to their shares.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
+    /// Latest virtual start time of the requests served so far.
     virtual_time: u64,
+    /// Cost of all waiting requests.
     tokens: u64,
+    /// Sum of the shares of the workspaces with waiting requests.
     active_shares: u64,
     len: usize,
     flows: BTreeMap<id::Workspace, Flow>,
+    /// Workspaces with waiting requests, by virtual start time.
     by_start: BTreeSet<(u64, id::Workspace)>,
+    /// Workspaces without waiting requests, by virtual start time.
     idle_by_start: BTreeSet<(u64, id::Workspace)>,
+    /// Workspaces with waiting requests, by backlog relative to the share.
     by_backlog: BTreeSet<(u64, id::Workspace)>,
 }
 
@@ -115,7 +123,7 @@
         popped.map(|((_, id), _)| id)
     }
 
-    /// Removes a request without charging its workspace.
+    /// Removes a request without charging its workspace; returns whether it waited.
     pub fn remove(&mut self, item: &Item) -> bool {
         let mut flow = self.remove_flow(&item.workspace);
         let removed = flow.items.remove(&(item.deadline, item.id));
@@ -143,11 +151,11 @@
     #[must_use]
     pub fn tokens_ahead(&self, workspace: &id::Workspace, share: u32) -> u64 {
         let share = u64::from(share.max(1));
-        let (own, shares) = match self.flows.get(workspace) {
+        let (workspace_tokens, shares) = match self.flows.get(workspace) {
             Some(flow) if !flow.items.is_empty() => (flow.tokens, self.active_shares),
             _ => (0, self.active_shares + share),
         };
-        let tokens = u128::from(own) * u128::from(shares) / u128::from(share);
+        let tokens = u128::from(workspace_tokens) * u128::from(shares) / u128::from(share);
         u64::try_from(tokens).unwrap_or(u64::MAX).min(self.tokens)
     }
 
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -50,7 +50,7 @@
     pub name_hash: u64,
     /// Whether the current host list names it.
     pub listed: bool,
-    /// Its last load report.
+    /// Its last load report; `None` before the first.
     pub load: Option<Load>,
     /// Tokens that this node has in flight there.
     pub own_tokens: u64,
@@ -69,7 +69,7 @@
     pub health: Health,
     /// Time before which it gets no new work.
     pub avoided_until: time::Instant,
-    /// The suspect request that it is reserved for.
+    /// The suspect request that it is reserved for, if any.
     pub reserved: Option<id::Request>,
     /// Fingerprints of the requests whose connection broke, until a probe tells
     /// whether the endpoint is dead.
@@ -221,8 +221,8 @@
         self.slots_by_name.values().copied().collect()
     }
 
-    /// Frees the slot of an endpoint that is neither listed nor serves a
-    /// request; returns whether it was freed.
+    /// Frees the slot if its endpoint is no longer listed and serves no request;
+    /// returns whether it was freed.
     pub fn release(&mut self, slot: Slot) -> bool {
         let is_unused = |endpoint: &Endpoint| !endpoint.listed && endpoint.own_requests == 0;
         if !self.get(slot).is_some_and(is_unused) {
--- a/lib/src/placement.rs
+++ b/lib/src/placement.rs
@@ -13,11 +13,11 @@
 
 /// Result of choosing an endpoint for a waiting request.
 pub(crate) enum Choice {
-    /// At this endpoint.
+    /// The endpoint in this slot.
     At(Slot),
-    /// No endpoint has room now.
+    /// No endpoint has room now, so the request keeps waiting.
     Full,
-    /// No endpoint can ever take it.
+    /// No endpoint can ever take the request, which is refused.
     Impossible,
 }
 
@@ -51,8 +51,13 @@
             candidate.cached_blocks = cached_blocks.get(&candidate.slot).copied().unwrap_or(0);
         }
         let context = self.settings.context(now, self.members.len());
-        let first = prefixes.first().copied();
-        let chosen = context.choose(&mut self.rng, &mut self.round_robin_turn, &fitting, first);
+        let first_block = prefixes.first().copied();
+        let chosen = context.choose(
+            &mut self.rng,
+            &mut self.round_robin_turn,
+            &fitting,
+            first_block,
+        );
         self.record_limiting_windows(&full);
         chosen.map_or(Choice::Full, |candidate| Choice::At(candidate.slot))
     }
@@ -73,8 +78,8 @@
             if waiting.avoided.contains(&endpoint.record.id) {
                 continue;
             }
-            let windowless = context.policy == Policy::RoundRobin;
-            if !windowless
+            let ignores_windows = context.policy == Policy::RoundRobin;
+            if !ignores_windows
                 && endpoint.window.prefill_time(endpoint.pending_prompt_tokens) > FIRST_TOKEN_TARGET
             {
                 continue;
--- a/lib/src/queue.rs
+++ b/lib/src/queue.rs
@@ -56,7 +56,7 @@
         self.remove_from_indexes(request)
     }
 
-    /// Removes a request without serving it.
+    /// Removes a request without serving it; returns `None` if it does not wait.
     pub fn remove(&mut self, request: id::Request) -> Option<(id::Tier, Item)> {
         let (tier, item) = self.remove_from_indexes(request)?;
         if let Some(fair) = self.tiers.get_mut(&tier) {
@@ -85,8 +85,8 @@
         for fair in self.tiers.range(..tier).map(|(_, fair)| fair) {
             tokens += fair.tokens();
         }
-        let own = self.tiers.get(&tier);
-        tokens + own.map_or(0, |fair| fair.tokens_ahead(workspace, share))
+        let same_tier = self.tiers.get(&tier);
+        tokens + same_tier.map_or(0, |fair| fair.tokens_ahead(workspace, share))
     }
 
     /// Returns the waiting tokens and requests of every tier.
@@ -101,7 +101,7 @@
         self.items.keys().copied().collect()
     }
 
-    /// Removes a request from the indexes by identifier and deadline.
+    /// Removes a request from the indexes by identifier and by deadline.
     fn remove_from_indexes(&mut self, request: id::Request) -> Option<(id::Tier, Item)> {
         let (tier, item) = self.items.remove(&request)?;
         self.deadlines.remove(&(item.deadline, request));
--- a/lib/src/window.rs
+++ b/lib/src/window.rs
@@ -62,16 +62,28 @@
 /// A limit on the tokens in flight at an endpoint, adapted to its speed.
 #[derive(Clone, Copy, Debug)]
 pub struct Window {
+    /// Tokens that the configuration gives the endpoint.
     configured: f64,
+    /// Tokens that this node may have in flight.
     limit: f64,
+    /// This node's equal share of `configured`.
     node_share: f64,
+    /// Average tokens per second of one stream.
     speed: Average,
+    /// Highest average speed, with slow decay.
     best_speed: f64,
+    /// Shortest time to the first token per uncached prompt token, with slow
+    /// decay; `None` until one was measured.
     best_secs_per_token: Option<f64>,
+    /// When `speed` was last updated.
     speed_measured: time::Instant,
+    /// Whether requests queued inside the endpoint since the last adjustment.
     congested: bool,
+    /// Whether the window kept requests waiting since the last adjustment.
     limited: bool,
+    /// Most tokens in flight since the last adjustment.
     peak_tokens: f64,
+    /// When the window was last adjusted; the default before the first time.
     last_adjusted: time::Instant,
 }
 
@@ -194,12 +206,13 @@
         Duration::from_secs_f64(seconds.clamp(0.0, 3600.0))
     }
 
-    /// Decreases the window by the usual factor.
+    /// Decreases the window by the usual factor, also within a period.
     pub fn decrease(&mut self) {
         self.set_limit(self.limit * DECREASE_FACTORS.0);
     }
 
-    /// Adjusts the window at most once a period.
+    /// Adjusts the window to the observations since the last adjustment, at most
+    /// once a period.
     fn adjust(&mut self, now: time::Instant) {
         if now.since(self.last_adjusted) < ADJUST_PERIOD {
             return;
