--- a/lib/src/configuration/document.rs
+++ b/lib/src/configuration/document.rs
@@ -17,7 +17,9 @@
 /// time.
 pub const MAX_DOCUMENT_BYTES: usize = 960_000;
 
+/// Maximum length in bytes of a name that the document declares.
 const MAX_NAME_BYTES: usize = 64;
+
 /// Parses a document and validates it as a whole.
 ///
 /// # Errors
--- a/lib/src/configuration/workspaces.rs
+++ b/lib/src/configuration/workspaces.rs
@@ -10,7 +10,9 @@
 };
 
 const MAX_SHARE: u64 = 10_000;
+/// Maximum of a workspace's limit on requests in one node at a time.
 const MAX_REQUEST_LIMIT: u64 = 1_000_000;
+/// Prefix of a key's digest in the document.
 const KEY_PREFIX: &str = "sha256:";
 const DIGEST_HEX_DIGITS: usize = 64;
 
--- a/lib/src/crash.rs
+++ b/lib/src/crash.rs
@@ -34,18 +34,21 @@
 #[derive(Clone, Debug, Default)]
 pub struct Detector {
     marks: Marks,
+    /// Recent breaks, of endpoints that have not been found dead.
     breaks: Vec<Break>,
-    unshared: Vec<(id::Fingerprint, time::Instant)>,
+    /// New marks, with the time until which each is sent to the other nodes.
+    to_share: Vec<(id::Fingerprint, time::Instant)>,
 }
 
 impl Detector {
-    /// Returns what is known about whether the request crashes endpoints.
+    /// Returns whether the request is known or suspected to crash endpoints.
     #[must_use]
     pub fn verdict(&self, now: time::Instant, fingerprint: id::Fingerprint) -> Verdict {
         self.marks.verdict(now, fingerprint)
     }
 
-    /// Records that a request's connection broke.
+    /// Records that a request's connection broke. It is not recorded while
+    /// [`MAX_BREAKS`] are kept.
     pub fn record_broken(
         &mut self,
         now: time::Instant,
@@ -78,7 +81,7 @@
         });
         for fingerprint in &suspects {
             for mark in self.marks.record_death(now, *fingerprint, endpoint) {
-                self.unshared.push((mark, now + MARK_SEND_TIME));
+                self.to_share.push((mark, now + MARK_SEND_TIME));
             }
         }
         suspects.len()
@@ -89,10 +92,11 @@
         self.marks.record_answer(now, fingerprint);
     }
 
-    /// Returns the marks to send to the other nodes, with their validity.
+    /// Returns the marks to send to the other nodes, with their validity; each is
+    /// returned for [`MARK_SEND_TIME`].
     pub fn marks_to_share(&mut self, now: time::Instant) -> Vec<(id::Fingerprint, Duration)> {
-        self.unshared.retain(|(_, until)| *until > now);
-        let marks = self.unshared.iter();
+        self.to_share.retain(|(_, until)| *until > now);
+        let marks = self.to_share.iter();
         marks.map(|(mark, _)| (*mark, MARK_TTL)).collect()
     }
 
--- a/lib/src/endpoint.rs
+++ b/lib/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints as described by the host list and by their own reports.
+//! Endpoints: their entries in the host list or directory, and their own reports.
 
 use std::collections::BTreeSet;
 
@@ -20,10 +20,10 @@
     Leaving,
 }
 
-/// Entry of an endpoint in the host list.
+/// Entry of an endpoint in the host list, or in the gateway's directory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its name, unique in the host list.
+    /// Its name, unique in the list.
     pub id: id::Endpoint,
     /// Its address, `ip:port`.
     pub address: String,
@@ -45,7 +45,7 @@
     pub running: u32,
     /// Requests queued inside the endpoint.
     pub waiting: u32,
-    /// Tokens held by its running requests.
+    /// Tokens that its running requests occupy.
     pub tokens: size::Tokens,
     /// Loaded models and adapters; empty if it does not report them.
     pub models: BTreeSet<id::Model>,
--- a/lib/src/event.rs
+++ b/lib/src/event.rs
@@ -28,17 +28,17 @@
     Progressed(id::Request, size::Tokens),
     /// An admitted request ended.
     Ended(id::Request, Outcome),
-    /// An endpoint answered a probe on a new connection, or did not.
+    /// A probe on a new connection has ended; true if the endpoint answered it.
     Probed(id::Endpoint, bool),
-    /// A peer's marks of requests that may crash endpoints, with the time for
-    /// which each still holds.
+    /// A peer's marks of requests that may crash endpoints, with the remaining
+    /// validity of each.
     Suspected(Vec<(id::Fingerprint, Duration)>),
     /// A peer sent a message of the admission protocol.
     Peer(id::Node, Message),
     /// The live nodes, this one included, with their data centres.
     Members(Vec<(id::Node, id::DataCentre)>),
-    /// The node is shutting down; a new request that can't be admitted at once
-    /// is refused.
+    /// The node is shutting down: from now on a request that can't be admitted at
+    /// once is refused.
     Draining,
     /// Time passed; sent at regular intervals.
     Tick,
--- a/lib/src/health.rs
+++ b/lib/src/health.rs
@@ -21,7 +21,7 @@
 /// Time after which a probe without a result is sent again.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Span within which the deaths of several endpoints are ascribed to the
+/// Span within which the deaths of several endpoints are attributed to the
 /// network, not to the requests in flight there.
 pub(crate) const DEATH_SPAN: Duration = Duration::from_secs(5);
 
@@ -196,8 +196,8 @@
         self.admit_waiting(now, &service);
     }
 
-    /// Expires marks, sends due probes, refuses overdue requests and admits
-    /// waiting ones.
+    /// Expires marks, sends due probes, decreases the windows of slow endpoints,
+    /// refuses overdue requests and admits waiting ones.
     pub(crate) fn tick(&mut self, now: time::Instant) {
         self.marks.expire(now);
         self.deaths.retain(|_, at| now.since(*at) <= DEATH_SPAN);
@@ -226,8 +226,8 @@
         }
     }
 
-    /// Avoids an endpoint that could not be reached, has it probed and returns
-    /// its name.
+    /// Avoids an endpoint that could not be reached for [`AVOID_PERIOD`], has it
+    /// probed and returns its name.
     pub(crate) fn avoid(&mut self, now: time::Instant, slot: Slot) -> Option<id::Endpoint> {
         let endpoint = self.fleet.get_mut(slot)?;
         endpoint.avoided_until = now + AVOID_PERIOD;
--- a/lib/src/isolation.rs
+++ b/lib/src/isolation.rs
@@ -12,7 +12,7 @@
 pub struct Queue {
     /// The suspects, in order of arrival.
     pub requests: VecDeque<id::Request>,
-    /// Slot of the endpoint that is reserved for the first suspect.
+    /// Slot of the endpoint that is reserved for the first suspect, if one is.
     pub slot: Option<fleet::Slot>,
 }
 
@@ -34,7 +34,7 @@
         true
     }
 
-    /// Removes a suspect and returns the slot that was reserved for it.
+    /// Removes a suspect and returns the slot that was reserved for it, if any.
     pub fn remove(&mut self, service: &id::Service, request: id::Request) -> Option<fleet::Slot> {
         let queue = self.queues.get_mut(service)?;
         let position = queue.requests.iter().position(|each| *each == request)?;
--- a/lib/src/quarantine.rs
+++ b/lib/src/quarantine.rs
@@ -13,7 +13,7 @@
 
 use crate::{id, time};
 
-/// Time for which a mark holds.
+/// Time for which a mark is valid.
 pub const MARK_TTL: Duration = Duration::from_mins(10);
 
 /// Time for which a suspect stays cleared after it was answered.
@@ -31,7 +31,7 @@
 /// What the marks say of a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It has no marks that hold, or was answered since.
+    /// It has no valid marks, or it was answered since it became a suspect.
     Clear,
     /// Its connection broke, or it was in flight at one death.
     Suspect,
@@ -39,10 +39,12 @@
     Confirmed,
 }
 
-/// The marks known to one node, with the time when each expires.
+/// The marks known to one node.
 #[derive(Clone, Debug, Default)]
 pub struct Marks {
+    /// Expiry of each mark.
     marks: BTreeMap<id::Fingerprint, time::Instant>,
+    /// Expiry of each suspect's clearance.
     cleared: BTreeMap<id::Fingerprint, time::Instant>,
 }
 
@@ -122,11 +124,12 @@
         marks
     }
 
-    /// Adds a mark, or extends the time for which it holds.
+    /// Adds a mark that is valid for this time, at most [`MARK_TTL`], or extends
+    /// the validity of a known one.
     pub fn add(&mut self, now: time::Instant, mark: id::Fingerprint, valid: Duration) {
         let until = now + valid.min(MARK_TTL);
-        let held = self.marks.entry(mark).or_insert(until);
-        *held = until.max(*held);
+        let expiry = self.marks.entry(mark).or_insert(until);
+        *expiry = until.max(*expiry);
         if self.marks.len() > MAX_MARKS {
             self.expire(now);
         }
--- a/lib/src/report.rs
+++ b/lib/src/report.rs
@@ -64,7 +64,7 @@
 pub struct Service {
     /// Its name.
     pub name: id::Service,
-    /// Number of endpoints that get new work.
+    /// Number of its endpoints that get new work.
     pub open: usize,
     /// Services that it depends on, also indirectly, without an open endpoint.
     pub missing: Vec<id::Service>,
