--- a/lib/examples/membership_run.rs
+++ b/lib/examples/membership_run.rs
@@ -1,13 +1,13 @@
 //! Simulates memberships under random faults, one run per seed:
 //! `cargo run --release -p dottereltally-lib --example membership_run -- --seeds 1000 --first 0`.
 
-#[path = "../tests/fleet/mod.rs"]
-mod fleet;
+#[path = "../tests/cluster/mod.rs"]
+mod cluster;
 
 use std::{env, process::ExitCode};
 
+use cluster::scenario;
 use dottereltally_lib::membership::Settings;
-use fleet::scenario;
 
 /// Returns the value of a numeric option.
 fn number(option: &str, default: u64) -> u64 {
--- a/lib/tests/fleet/mod.rs
+++ b/lib/tests/cluster/mod.rs
@@ -30,7 +30,7 @@
 const FETCH_DELAY: Duration = Duration::from_millis(20);
 /// Maximum additional delay of a late heartbeat.
 const MAX_LATE_DELAY: Duration = Duration::from_secs(3);
-/// Interval between two checks of a condition in [`Fleet::run_until`].
+/// Interval between two checks of a condition in [`Cluster::run_until`].
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Start of the virtual clock.
 const CLOCK_START: Duration = Duration::from_hours(1);
@@ -64,7 +64,7 @@
 pub struct Counts {
     /// Exchanges that were started.
     pub exchanges: u64,
-    /// Bytes of heartbeats, according to the size function of the fleet.
+    /// Bytes of heartbeats, according to the size function of the cluster.
     pub bytes: u64,
     /// Times that a node dropped a process that was running.
     pub false_drops: u64,
@@ -73,21 +73,20 @@
 /// Event on the virtual clock.
 #[derive(Clone, Debug)]
 enum Event {
+    /// The process runs its next gossip round.
     Tick,
+    /// A heartbeat arrives from the process `from_epoch` of the node `from`.
     Request {
         exchange: u64,
         from: usize,
         from_epoch: u64,
         heartbeat: Heartbeat,
     },
-    Answer {
-        exchange: u64,
-        heartbeat: Heartbeat,
-    },
-    Timeout {
-        exchange: u64,
-        peer: id::Node,
-    },
+    /// The answer to a heartbeat of this process arrives.
+    Answer { exchange: u64, heartbeat: Heartbeat },
+    /// The time limit of an exchange of this process is over.
+    Timeout { exchange: u64, peer: id::Node },
+    /// The process has fetched a configuration of this generation.
     Fetched(id::Generation),
 }
 
@@ -149,7 +148,7 @@
 }
 
 /// Simulated nodes on a virtual clock.
-pub struct Fleet {
+pub struct Cluster {
     /// Behaviour of the network.
     pub network: Network,
     /// Counters of the run.
@@ -157,6 +156,7 @@
     settings: Settings,
     heartbeat_size: fn(&Heartbeat) -> usize,
     now: Instant,
+    /// Number of events scheduled so far.
     order: u64,
     last_exchange: u64,
     queue: BinaryHeap<Reverse<Entry>>,
@@ -165,22 +165,22 @@
     addresses: BTreeMap<String, usize>,
     hosts: Vec<Host>,
     host_list_version: u64,
-    /// Data centres that are cut off from the others.
+    /// Data centres that reach only each other.
     partitioned: BTreeSet<id::DataCentre>,
     rng: SmallRng,
 }
 
-impl Fleet {
+impl Cluster {
     /// Starts `count` nodes in three data centres.
     pub fn start(count: usize, settings: Settings, seed: u64) -> Self {
-        let mut fleet = Self::empty(settings, seed, |_| 0);
+        let mut cluster = Self::empty(settings, seed, |_| 0);
         for index in 0..count {
-            fleet.add(index);
+            cluster.add(index);
         }
-        fleet
+        cluster
     }
 
-    /// Creates a fleet without nodes; `heartbeat_size` returns the bytes of a
+    /// Creates a cluster without nodes; `heartbeat_size` returns the bytes of a
     /// heartbeat.
     pub fn empty(settings: Settings, seed: u64, heartbeat_size: fn(&Heartbeat) -> usize) -> Self {
         Self {
@@ -269,7 +269,7 @@
         self.nodes[node].epoch += 1;
     }
 
-    /// Makes a process announce that it is shutting down; [`Fleet::kill`] ends it.
+    /// Makes a process announce that it is shutting down; [`Cluster::kill`] ends it.
     pub fn leave(&mut self, node: usize) {
         let now = self.now;
         let Some(process) = &mut self.nodes[node].process else {
@@ -300,7 +300,7 @@
 
     /// Partitions the network: the given data centres reach each other but none of
     /// the others. An empty list ends the partition.
-    pub fn cut(&mut self, data_centres: &[&str]) {
+    pub fn partition(&mut self, data_centres: &[&str]) {
         self.partitioned = data_centres.iter().map(|name| (*name).into()).collect();
     }
 
@@ -313,7 +313,7 @@
     }
 
     /// Gossips a fingerprint of a crashing request from one node.
-    pub fn quarantine(&mut self, node: usize, fingerprint: u64, valid: Duration) {
+    pub fn gossip_fingerprint(&mut self, node: usize, fingerprint: u64, valid: Duration) {
         let now = self.now;
         if let Some(process) = &mut self.nodes[node].process {
             let fingerprint = id::Fingerprint(fingerprint);
@@ -365,7 +365,7 @@
     }
 
     /// Advances the virtual clock until `reached` and returns the elapsed time,
-    /// or none if `limit` elapsed first.
+    /// or `None` if `limit` elapsed first.
     pub fn run_until(
         &mut self,
         limit: Duration,
@@ -387,7 +387,8 @@
         (0..self.nodes.len()).all(|node| self.disagreement(node).is_none())
     }
 
-    /// Describes how the live nodes that a node sees differ from the expected ones.
+    /// Describes how the live nodes that a node sees differ from the expected ones;
+    /// `None` if they don't, or if the node does not run or is paused or leaving.
     pub fn disagreement(&self, node: usize) -> Option<String> {
         let host = &self.nodes[node];
         let process = host.process.as_ref()?;
@@ -413,7 +414,7 @@
         ))
     }
 
-    /// Returns whether no running node sees this node as live.
+    /// Returns whether no running, unpaused node sees this node as live.
     pub fn is_dropped(&self, node: usize) -> bool {
         let name = &self.nodes[node].name;
         for other in &self.nodes {
@@ -428,7 +429,8 @@
         true
     }
 
-    /// Returns whether every running node has a generation in force.
+    /// Returns whether every running, unpaused node has this generation or a
+    /// higher one in force.
     pub fn is_configured(&self, generation: u64) -> bool {
         for node in &self.nodes {
             let Some(process) = &node.process else {
@@ -441,8 +443,9 @@
         true
     }
 
-    /// Returns whether every running node except the source knows a fingerprint.
-    pub fn is_quarantined(&self, source: usize, fingerprint: u64) -> bool {
+    /// Returns whether every running node except the source has received a
+    /// fingerprint.
+    pub fn is_fingerprint_known(&self, source: usize, fingerprint: u64) -> bool {
         for (index, node) in self.nodes.iter().enumerate() {
             let Some(process) = &node.process else {
                 continue;
--- a/lib/tests/engines/mod.rs
+++ b/lib/tests/engines/mod.rs
@@ -27,8 +27,11 @@
 /// A simulated engine.
 pub struct Engine {
     pub name: id::Endpoint,
+    /// Factor by which the engine is faster than the constants above.
     pub speed: f64,
+    /// Requests that it runs at once.
     pub capacity: usize,
+    /// Whether it accepts connections.
     pub alive: bool,
     running: usize,
     queue: Vec<id::Request>,
@@ -43,10 +46,13 @@
     Refused(Refusal),
 }
 
+/// A request that has not ended.
 struct Job {
+    /// Dispatcher of the node that the request arrived at.
     dispatcher: usize,
     request: Request,
     arrived: time::Instant,
+    /// Engine that it was sent to; `None` while it is queued.
     engine: Option<usize>,
 }
 
@@ -56,6 +62,7 @@
     pub engines: Vec<Engine>,
     pub dispatchers: Vec<Dispatcher>,
     pub replies: HashMap<id::Request, Reply>,
+    /// Every choice of an endpoint, in order.
     pub sent: Vec<(id::Request, Choice)>,
     /// The dispatcher that decides for all dispatchers, if there is one.
     coordinator: Option<usize>,
@@ -65,8 +72,11 @@
     last_report: time::Instant,
 }
 
+/// An event of a running request.
 enum Event {
+    /// Its first event arrives.
     First(id::Request),
+    /// Its answer is complete.
     End(id::Request),
 }
 
--- a/lib/tests/test_admission.rs
+++ b/lib/tests/test_admission.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn request_without_text_is_refused_at_once() {
+fn request_without_configuration_is_refused_at_once() {
     let mut core = Scheduler::new(Settings::default());
     let effects = arrive(&mut core, 0, 1, profile(0, 10, 10));
     let (reason, retry) = refused(&effects, 1).expect("refused");
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn model_is_served_where_it_is_loaded() {
+fn request_goes_to_an_endpoint_with_its_model() {
     let mut core = core(Policy::TwoChoices, 100_000, 2);
     let mut other = load(0);
     other.models.insert("m1".into());
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn waiting_request_is_refused_before_its_deadline_is_spent() {
+fn waiting_request_is_refused_once_its_deadline_has_passed() {
     let mut core = core(Policy::TwoChoices, 1000, 1);
     arrive(&mut core, 0, 1, profile(0, 900, 100));
     let mut late = profile(1, 900, 100);
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn dead_endpoint_is_used_again_once_probed_well() {
+fn dead_endpoint_is_used_again_once_it_answers_a_probe() {
     let mut core = core(Policy::TwoChoices, 1000, 1);
     arrive(&mut core, 0, 1, profile(0, 10, 10));
     let ended = Event::Ended(id::Request(1), Outcome::Broken);
--- a/lib/tests/test_affinity.rs
+++ b/lib/tests/test_affinity.rs
@@ -44,13 +44,13 @@
             }
             let gapless = index.apply(slot, &Cache { sequence: *sequence, change });
             prop_assert_eq!(gapless, !gap);
-            let again = Cache { sequence: *sequence, change: Change::Stored(Prefix(99)) };
-            index.apply(slot, &again);
+            let repeated = Cache { sequence: *sequence, change: Change::Stored(Prefix(99)) };
+            index.apply(slot, &repeated);
             let wanted: Vec<Prefix> = (0..12).map(Prefix).collect();
-            let held = index.cached_blocks_by_slot(&wanted);
+            let cached_blocks = index.cached_blocks_by_slot(&wanted);
             for (slot, set) in &sets {
                 let blocks = wanted.iter().take_while(|prefix| set.contains(prefix)).count();
-                prop_assert_eq!(held.get(slot).copied().unwrap_or(0), blocks as u64);
+                prop_assert_eq!(cached_blocks.get(slot).copied().unwrap_or(0), blocks as u64);
                 prop_assert_eq!(index.cached_blocks(*slot, &wanted), blocks as u64);
             }
             prop_assert_eq!(index.len(), sets.values().map(BTreeSet::len).sum::<usize>());
--- a/lib/tests/test_budget.rs
+++ b/lib/tests/test_budget.rs
@@ -23,7 +23,10 @@
 #[case(1, 100)]
 #[case(8, 20)]
 #[case(87, 8)]
-fn repeats_of_all_nodes_stay_within_each_window(#[case] nodes: usize, #[case] per_second: u64) {
+fn retries_of_all_nodes_stay_within_the_budget_of_each_window(
+    #[case] nodes: usize,
+    #[case] per_second: u64,
+) {
     let service = id::Service::from("s");
     let mut budgets = vec![Budget::new(LIMITS); nodes];
     for budget in &mut budgets {
@@ -63,7 +66,7 @@
 }
 
 #[test]
-fn changed_limits_hold_from_the_next_window() {
+fn changed_limits_apply_from_the_next_window() {
     let service = id::Service::from("s");
     let mut budget = Budget::new(LIMITS);
     while budget.spend(at(0), &service) {}
--- a/lib/tests/test_crash.rs
+++ b/lib/tests/test_crash.rs
@@ -14,13 +14,15 @@
     id::Endpoint::from(name)
 }
 
+/// Breaks the request's connection to an endpoint, which is found dead 500 ms
+/// later.
 fn crash(detector: &mut Detector, millis: u64, name: &str) {
     detector.record_broken(at(millis), &endpoint(name), REQUEST);
     detector.record_death(at(millis + 500), &endpoint(name));
 }
 
 #[test]
-fn two_endpoints_dead_with_the_request_confirm_it() {
+fn two_dead_endpoints_confirm_the_request() {
     let mut detector = Detector::default();
     crash(&mut detector, 1000, "a");
     assert_eq!(detector.verdict(at(2000), REQUEST), Verdict::Suspect);
@@ -29,7 +31,7 @@
 }
 
 #[test]
-fn one_endpoint_found_dead_twice_confirms_nothing() {
+fn one_endpoint_found_dead_twice_does_not_confirm() {
     let mut detector = Detector::default();
     crash(&mut detector, 1000, "a");
     crash(&mut detector, 3000, "a");
@@ -45,7 +47,7 @@
 }
 
 #[test]
-fn marks_told_to_another_node_confirm_there_too() {
+fn marks_sent_to_another_node_confirm_there_too() {
     let mut detector = Detector::default();
     crash(&mut detector, 1000, "a");
     crash(&mut detector, 2000, "b");
--- a/lib/tests/test_dispatcher.rs
+++ b/lib/tests/test_dispatcher.rs
@@ -8,13 +8,14 @@
 use engines::{Reply, Simulation, at, request};
 use rstest::rstest;
 
+/// Time to the first event that counts as on time.
 const OBJECTIVE: Duration = Duration::from_millis(400);
 
-/// Speeds of engines that differ widely.
+/// Speeds of engines that differ widely, relative to speed 1 of the simulation.
 const MIXED_SPEEDS: [f64; 9] = [0.4, 0.4, 0.4, 1.0, 1.0, 1.0, 1.6, 1.6, 1.6];
 
 /// Submits requests of one class to the dispatchers in turn, one every `gap`
-/// milliseconds.
+/// milliseconds. All times are in milliseconds, `prompt` and `output` in tokens.
 fn submit(
     simulation: &mut Simulation,
     (from, to, gap): (u64, u64, u64),
@@ -117,7 +118,7 @@
 }
 
 /// A quarter of the engines is dead, but still listed. Each dispatcher may try
-/// them again only after a growing pause.
+/// them again only after a growing backoff.
 #[test]
 fn dead_engines_cost_each_dispatcher_few_attempts() {
     let mut simulation = Simulation::new(4, &[1.0; 12], 10);
@@ -135,8 +136,8 @@
     let tried = simulation.sent[before..]
         .iter()
         .filter(|(_, choice)| names.contains(&choice.endpoint));
-    // Four seconds, four dispatchers, three engines, pauses of at most two
-    // seconds.
+    // In four seconds, with a backoff that grows to two seconds, each of the four
+    // dispatchers tries each of the three engines at most six times.
     let attempts = tried.count();
     assert!(attempts <= 4 * 3 * 6, "{attempts} attempts at dead engines");
     assert!(simulation.on_time(&requests, OBJECTIVE) > 0.95);
@@ -145,7 +146,7 @@
 /// The load is three times the capacity for a long time. Requests that can't be
 /// served must be refused early, with a time after which to retry.
 #[test]
-fn hopeless_work_is_refused_early() {
+fn requests_that_can_not_be_served_are_refused_early() {
     let mut simulation = Simulation::new(2, &[1.0; 4], 10);
     let requests = submit(&mut simulation, (0, 12_000, 10), (0, 600, 360));
     simulation.run(at(20_000));
@@ -170,7 +171,7 @@
 #[case(Outcome::Rejected)]
 #[case(Outcome::Misdirected)]
 #[case(Outcome::Unreachable)]
-fn an_endpoint_that_did_not_take_a_request_is_left_for_a_while(#[case] outcome: Outcome) {
+fn an_endpoint_that_did_not_run_a_request_is_avoided_for_a_while(#[case] outcome: Outcome) {
     let mut simulation = Simulation::new(1, &[1.0, 1.0], 10);
     let now = simulation.now;
     let id = simulation.arrive(0, request(now, 0, 600, 60, OBJECTIVE));
@@ -185,27 +186,27 @@
 }
 
 #[test]
-fn a_request_is_not_sent_where_it_was_before() {
+fn a_request_is_not_sent_to_an_excluded_endpoint() {
     let mut simulation = Simulation::new(1, &[1.0, 1.0], 10);
     let now = simulation.now;
-    let mut again = request(now, 0, 600, 60, OBJECTIVE);
-    again.excluded.push(simulation.engines[0].name.clone());
-    simulation.arrive(0, again);
+    let mut retry = request(now, 0, 600, 60, OBJECTIVE);
+    retry.excluded.push(simulation.engines[0].name.clone());
+    simulation.arrive(0, retry);
     assert_eq!(simulation.sent[0].1.endpoint, simulation.engines[1].name);
 }
 
 /// A request that was already sent to every endpoint is refused at once.
 #[test]
-fn a_request_that_was_sent_everywhere_does_not_wait() {
+fn a_request_that_was_sent_everywhere_is_refused_at_once() {
     let mut simulation = Simulation::new(1, &[1.0, 1.0], 10);
     let now = simulation.now;
-    let mut again = request(now, 0, 600, 60, OBJECTIVE);
-    again.excluded = simulation
+    let mut retry = request(now, 0, 600, 60, OBJECTIVE);
+    retry.excluded = simulation
         .engines
         .iter()
         .map(|engine| engine.name.clone())
         .collect();
-    let id = simulation.arrive(0, again);
+    let id = simulation.arrive(0, retry);
     assert!(matches!(simulation.replies[&id], Reply::Refused(_)));
 }
 
@@ -223,7 +224,7 @@
 /// Eight dispatchers, which see each other's load with a delay, send to the
 /// same engines.
 #[test]
-fn dispatchers_together_do_not_overfill_engines_for_long() {
+fn dispatchers_together_do_not_overload_engines_for_long() {
     let mut simulation = Simulation::new(8, &[1.0; 6], 10);
     let requests = submit(&mut simulation, (0, 8000, 25), (0, 600, 300));
     simulation.run(at(12_000));
@@ -254,8 +255,8 @@
 /// Each dispatcher decides for itself, as it does while there is no
 /// coordinator.
 #[test]
-#[ignore = "known red: urgent work is not ordered across nodes without a home"]
-fn urgent_work_of_one_gate_stays_on_time_in_a_burst() {
+#[ignore = "known red: urgent work is not ordered across nodes without a coordinator"]
+fn urgent_work_at_one_dispatcher_stays_on_time_in_a_burst() {
     let on_time = burst_with_urgent_work_at_one_dispatcher(Simulation::new(3, &MIXED_SPEEDS, 10));
     assert!(on_time > 0.9, "urgent work on time: {on_time}");
 }
@@ -271,11 +272,11 @@
 /// capacity. With a coordinator, no engine gets more requests than it runs at
 /// once.
 #[test]
-fn a_coordinator_overfills_no_engine() {
+fn a_coordinator_overloads_no_engine() {
     let mut simulation = Simulation::new(30, &[1.0; 6], 4).with_coordinator();
     submit(&mut simulation, (0, 6000, 20), (0, 600, 300));
-    let taken = simulation.sent.iter();
-    let most = taken
+    let sent = simulation.sent.iter();
+    let most = sent
         .map(|(_, choice)| choice.own_requests + choice.other_requests)
         .max();
     assert!(most <= Some(4), "{most:?} at an engine that runs four");
@@ -284,7 +285,7 @@
 /// The coordinator reports the requests that it placed; once it is gone, their
 /// own node does.
 #[test]
-fn a_node_counts_its_requests_itself_once_the_coordinator_is_gone() {
+fn a_node_reports_its_requests_itself_once_the_coordinator_is_gone() {
     let mut simulation = Simulation::new(2, &[1.0], 10).with_coordinator();
     simulation.arrive(1, request(simulation.now, 0, 600, 60, OBJECTIVE));
     let engine = simulation.engines[0].name.clone();
@@ -317,12 +318,12 @@
 }
 
 /// More short requests arrive than an engine can run. If requests complete
-/// every few milliseconds, the next one is sent ahead of the next completion;
-/// on a slow engine it would hold up urgent requests.
+/// every few milliseconds, one more is sent before the next completion; on a
+/// slow engine it would delay urgent requests.
 #[rstest]
 #[case::fast(6.0, 11)]
 #[case::slow(0.4, 10)]
-fn full_engines_get_the_next_request_early_where_ends_are_frequent(
+fn full_engines_get_the_next_request_early_if_completions_are_frequent(
     #[case] speed: f64,
     #[case] expected: u32,
 ) {
@@ -338,7 +339,7 @@
 /// The connection to the coordinator was lost between its decision and the
 /// send.
 #[test]
-fn a_choice_of_a_coordinator_that_is_gone_is_counted_by_the_node() {
+fn a_choice_of_a_coordinator_that_is_gone_is_reported_by_the_node() {
     let mut simulation = Simulation::new(1, &[1.0], 10);
     let now = simulation.now;
     let engine = simulation.engines[0].name.clone();
--- a/lib/tests/test_estimate.rs
+++ b/lib/tests/test_estimate.rs
@@ -37,8 +37,8 @@
     }
 
     #[test]
-    fn wait_grows_with_the_work_ahead(ahead in 0..1_000_000u64, drain in 1.0..1e5f64, part in 0.0..1.5f64) {
-        let above = drain * part;
+    fn wait_grows_with_the_work_ahead(ahead in 0..1_000_000u64, drain in 1.0..1e5f64, above_fraction in 0.0..1.5f64) {
+        let above = drain * above_fraction;
         let short = wait(ahead, Some(drain), above).expect("the rate is known");
         let long = wait(ahead + 1000, Some(drain), above).expect("the rate is known");
         prop_assert!(long >= short);
--- a/lib/tests/test_fair.rs
+++ b/lib/tests/test_fair.rs
@@ -11,6 +11,7 @@
 };
 use proptest::prelude::*;
 
+/// The constant of the same name in the queue.
 const VIRTUAL_TIME_PER_TOKEN: u64 = 1 << 20;
 
 /// Start-time fair queueing that scans all items for each operation.
@@ -68,14 +69,14 @@
 
     fn tokens_ahead(&self, workspace: &id::Workspace, share: u32) -> u64 {
         let of = |item: &&Item| item.workspace == *workspace;
-        let own: u64 = self.items.iter().filter(of).map(|item| item.cost).sum();
-        let all: u64 = self.items.iter().map(|item| item.cost).sum();
+        let workspace_tokens: u64 = self.items.iter().filter(of).map(|item| item.cost).sum();
+        let all_tokens: u64 = self.items.iter().map(|item| item.cost).sum();
         let mut shares = BTreeMap::from([(workspace.clone(), share)]);
         for item in &self.items {
             shares.insert(item.workspace.clone(), item.share);
         }
         let shares: u64 = shares.values().map(|share| u64::from(*share)).sum();
-        (own * shares / u64::from(share)).min(all)
+        (workspace_tokens * shares / u64::from(share)).min(all_tokens)
     }
 }
 
--- a/lib/tests/test_membership.rs
+++ b/lib/tests/test_membership.rs
@@ -1,10 +1,11 @@
 //! Nodes agree on which of them are live, also after crashes, pauses, partitions
 //! and loss of messages.
 
-mod fleet;
+mod cluster;
 
 use std::time::Duration;
 
+use cluster::{Cluster, Network, scenario};
 use dottereltally_lib::{
     id,
     membership::{
@@ -13,7 +14,6 @@
     },
     time::Instant,
 };
-use fleet::{Fleet, Network, scenario};
 use rstest::rstest;
 
 /// Seeds of the short randomised run.
@@ -33,9 +33,9 @@
 #[case(8)]
 #[case(50)]
 fn a_killed_node_is_dropped_everywhere(#[case] nodes: usize) {
-    let mut fleet = agreed_fleet(nodes);
-    fleet.kill(0);
-    let took = fleet.run_until(scenario::DROP_LIMIT, |fleet| fleet.is_dropped(0));
+    let mut cluster = agreed_cluster(nodes);
+    cluster.kill(0);
+    let took = cluster.run_until(scenario::DROP_LIMIT, |cluster| cluster.is_dropped(0));
     assert!(took.is_some(), "seed 1");
 }
 
@@ -43,9 +43,9 @@
 #[case(8)]
 #[case(50)]
 fn a_leaving_node_is_dropped_everywhere(#[case] nodes: usize) {
-    let mut fleet = agreed_fleet(nodes);
-    fleet.leave(0);
-    let took = fleet.run_until(scenario::LEAVE_LIMIT, |fleet| fleet.is_dropped(0));
+    let mut cluster = agreed_cluster(nodes);
+    cluster.leave(0);
+    let took = cluster.run_until(scenario::LEAVE_LIMIT, |cluster| cluster.is_dropped(0));
     assert!(took.is_some(), "seed 1");
 }
 
@@ -53,87 +53,87 @@
 #[case(8)]
 #[case(50)]
 fn a_generation_reaches_every_node(#[case] nodes: usize) {
-    let mut fleet = agreed_fleet(nodes);
-    fleet.configure(0, 1);
-    let took = fleet.run_until(scenario::DISSEMINATION_LIMIT, |fleet| {
-        fleet.is_configured(1)
+    let mut cluster = agreed_cluster(nodes);
+    cluster.configure(0, 1);
+    let took = cluster.run_until(scenario::DISSEMINATION_LIMIT, |cluster| {
+        cluster.is_configured(1)
     });
     assert!(took.is_some(), "seed 1");
 }
 
 #[rstest]
 fn a_paused_node_does_not_drop_the_others() {
-    let mut fleet = agreed_fleet(8);
-    fleet.pause(0);
-    fleet.run(Duration::from_secs(20));
-    fleet.resume(0);
+    let mut cluster = agreed_cluster(8);
+    cluster.pause(0);
+    cluster.run(Duration::from_secs(20));
+    cluster.resume(0);
     assert!(
-        fleet
-            .run_until(scenario::AGREE_LIMIT, Fleet::agrees)
+        cluster
+            .run_until(scenario::AGREE_LIMIT, Cluster::agrees)
             .is_some(),
         "seed 1"
     );
-    assert_eq!(fleet.counts.false_drops, 0, "seed 1");
+    assert_eq!(cluster.counts.false_drops, 0, "seed 1");
 }
 
 #[rstest]
 fn a_node_paused_beyond_the_retention_time_discards_its_table() {
-    let mut fleet = agreed_fleet(8);
-    fleet.pause(0);
-    fleet.run(Settings::default().retention * 2);
-    fleet.kill(7);
-    fleet.resume(0);
+    let mut cluster = agreed_cluster(8);
+    cluster.pause(0);
+    cluster.run(Settings::default().retention * 2);
+    cluster.kill(7);
+    cluster.resume(0);
     assert!(
-        fleet
-            .run_until(scenario::AGREE_LIMIT, Fleet::agrees)
+        cluster
+            .run_until(scenario::AGREE_LIMIT, Cluster::agrees)
             .is_some(),
         "seed 1"
     );
     // The resumed node discarded the six running nodes with its table; no other
     // node dropped a live one.
-    assert_eq!(fleet.counts.false_drops, 6, "seed 1");
+    assert_eq!(cluster.counts.false_drops, 6, "seed 1");
 }
 
 #[rstest]
 fn a_partitioned_data_centre_keeps_its_own_nodes_and_rejoins() {
-    let mut fleet = agreed_fleet(9);
-    fleet.cut(&["plovdiv"]);
+    let mut cluster = agreed_cluster(9);
+    cluster.partition(&["plovdiv"]);
     assert!(
-        fleet
-            .run_until(scenario::AGREE_LIMIT, Fleet::agrees)
+        cluster
+            .run_until(scenario::AGREE_LIMIT, Cluster::agrees)
             .is_some(),
         "seed 1"
     );
-    fleet.run(Duration::from_mins(5));
-    fleet.cut(&[]);
+    cluster.run(Duration::from_mins(5));
+    cluster.partition(&[]);
     assert!(
-        fleet
-            .run_until(scenario::AGREE_LIMIT, Fleet::agrees)
+        cluster
+            .run_until(scenario::AGREE_LIMIT, Cluster::agrees)
             .is_some(),
         "seed 1"
     );
-    assert_eq!(fleet.counts.false_drops, 0, "seed 1");
+    assert_eq!(cluster.counts.false_drops, 0, "seed 1");
 }
 
 #[rstest]
 fn a_lossy_network_causes_no_false_drops() {
-    let mut fleet = agreed_fleet(8);
-    fleet.network = Network {
+    let mut cluster = agreed_cluster(8);
+    cluster.network = Network {
         loss: 0.02,
         duplicate: 0.02,
         late: 0.02,
         delay: 1..20,
     };
-    fleet.run(Duration::from_mins(10));
-    assert_eq!(fleet.counts.false_drops, 0, "seed 1");
+    cluster.run(Duration::from_mins(10));
+    assert_eq!(cluster.counts.false_drops, 0, "seed 1");
 }
 
-/// Returns a fleet of seed 1 whose nodes agree.
-fn agreed_fleet(nodes: usize) -> Fleet {
-    let mut fleet = Fleet::start(nodes, Settings::default(), 1);
-    let took = fleet.run_until(scenario::AGREE_LIMIT, Fleet::agrees);
+/// Returns a cluster of seed 1 whose nodes agree.
+fn agreed_cluster(nodes: usize) -> Cluster {
+    let mut cluster = Cluster::start(nodes, Settings::default(), 1);
+    let took = cluster.run_until(scenario::AGREE_LIMIT, Cluster::agrees);
     assert!(took.is_some(), "seed 1");
-    fleet
+    cluster
 }
 
 /// Returns the member record of a node.
--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash endpoints, and those that only ran beside them.
+//! Requests that crash endpoints, and those that only ran at the same time.
 
 mod support;
 
@@ -24,8 +24,8 @@
     }
 }
 
-/// Breaks these requests and reports their endpoint dead; returns the marks that
-/// the death adds.
+/// Breaks the connections of these requests and reports their endpoint dead;
+/// returns the marks that the death adds.
 fn kill_endpoint(
     core: &mut Scheduler,
     now: u64,
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn harmless_request_beside_a_crash_is_served_when_sent_again() {
+fn harmless_request_in_flight_at_a_crash_is_served_when_sent_again() {
     let mut core = core(Policy::TwoChoices, 10_000, 1);
     arrive(&mut core, 0, 1, with_fingerprint(0, 7));
     arrive(&mut core, 0, 2, with_fingerprint(0, 8));
@@ -165,12 +165,12 @@
     }
     for number in 0..6 {
         let name = format!("e{number}");
-        let here: Vec<u64> = running
+        let requests: Vec<u64> = running
             .iter()
             .filter(|(endpoint, _)| endpoint.as_str() == name)
             .map(|(_, request)| *request)
             .collect();
-        marks.push(kill_endpoint(&mut core, 10, &name, &here).len());
+        marks.push(kill_endpoint(&mut core, 10, &name, &requests).len());
     }
     assert_eq!(marks[2..].iter().sum::<usize>(), 0, "{marks:?}");
 }
@@ -201,9 +201,9 @@
     assert_eq!(refused(&effects, 2).expect("refused").0, Reason::Quarantine);
 }
 
-/// A suspect that no second death confirms runs after the wait.
+/// A suspect waits for other nodes' marks; if none confirms it, it runs.
 #[test]
-fn suspect_runs_after_the_wait() {
+fn unconfirmed_suspect_runs_after_its_wait() {
     let mut core = core(Policy::TwoChoices, 10_000, 4);
     let first = admitted(&arrive(&mut core, 0, 1, with_fingerprint(0, 7)), 1).expect("admitted");
     kill_endpoint(&mut core, 10, first.as_str(), &[1]);
@@ -212,9 +212,9 @@
         ..with_fingerprint(0, 7)
     };
     assert!(arrive(&mut core, 20, 2, again).is_empty());
-    let mut place = None;
+    let mut endpoint = None;
     for now in (70..=2000).step_by(50) {
-        place = place.or(admitted(&core.handle(at(now), Event::Tick), 2));
+        endpoint = endpoint.or(admitted(&core.handle(at(now), Event::Tick), 2));
     }
-    assert!(place.is_some());
+    assert!(endpoint.is_some());
 }
--- a/lib/tests/test_quota.rs
+++ b/lib/tests/test_quota.rs
@@ -34,28 +34,29 @@
 }
 
 /// Limiters of several nodes that exchange reports.
-struct Fleet {
+struct Cluster {
     names: Vec<id::Node>,
     limiters: Vec<Limiter>,
     incarnations: Vec<u64>,
+    /// Time in milliseconds and cost of each admitted request.
     admitted: Vec<(u64, u64)>,
 }
 
-impl Fleet {
+impl Cluster {
     fn new(count: usize) -> Self {
         let names: Vec<id::Node> = (0..count)
             .map(|number| id::Node::from(format!("n{number}")))
             .collect();
-        let mut fleet = Self {
+        let mut cluster = Self {
             limiters: vec![Limiter::new(TOLERANCE); count],
             incarnations: vec![1; count],
             admitted: Vec::new(),
             names,
         };
         for index in 0..count {
-            fleet.join(index, 0);
+            cluster.join(index, 0);
         }
-        fleet
+        cluster
     }
 
     fn join(&mut self, index: usize, millis: u64) {
@@ -97,6 +98,7 @@
         admitted.is_ok()
     }
 
+    /// Returns the most units that were admitted within one window.
     fn max_in_a_window(&self) -> u64 {
         let mut highest = 0;
         for (start, _) in &self.admitted {
@@ -113,6 +115,7 @@
     clippy::cast_sign_loss,
     reason = "a limit in whole tokens"
 )]
+/// Returns the units that may be admitted within one window, tolerance included.
 fn allowed(quota: &Quota) -> u64 {
     let window = TOLERANCE.window.as_secs_f64();
     let within_quota = quota.rate * window + quota.burst;
@@ -127,11 +130,11 @@
 #[case::many(87, false)]
 fn a_hot_workspace_stays_within_its_quota(#[case] nodes: usize, #[case] uneven: bool) {
     let quota = quota(60_000.0);
-    let mut fleet = Fleet::new(nodes);
+    let mut cluster = Cluster::new(nodes);
     for step in 0..4000_u64 {
         let millis = step * 10;
         if millis % 100 == 0 {
-            fleet.exchange_reports(millis, |_, _| true);
+            cluster.exchange_reports(millis, |_, _| true);
         }
         let index = if uneven && step % 4 != 0 {
             0
@@ -139,9 +142,9 @@
             usize::try_from(step).unwrap() % nodes
         };
         let cost = if step % 97 == 0 { 50_000 } else { 3000 };
-        fleet.request(index, millis, &quota, cost);
+        cluster.request(index, millis, &quota, cost);
     }
-    let highest = fleet.max_in_a_window();
+    let highest = cluster.max_in_a_window();
     assert!(
         highest <= allowed(&quota),
         "{highest} of {}",
@@ -149,49 +152,49 @@
     );
     assert!(
         highest >= 480_000,
-        "the rate is used while more is asked: {highest}"
+        "the whole rate is used while demand exceeds it: {highest}"
     );
 }
 
 /// A workspace that uses half of its quota, in requests of very different
 /// sizes, is never refused.
 #[test]
-fn a_usual_workspace_is_not_refused() {
+fn a_workspace_within_its_quota_is_not_refused() {
     let quota = quota(300_000.0);
-    let mut fleet = Fleet::new(8);
+    let mut cluster = Cluster::new(8);
     for step in 0..4000_u64 {
         let millis = step * 10;
         if millis % 100 == 0 {
-            fleet.exchange_reports(millis, |_, _| true);
+            cluster.exchange_reports(millis, |_, _| true);
         }
         let cost = if step % 50 == 0 { 30_000 } else { 1000 };
-        // The buckets fill within the first second.
         let index = usize::try_from(step % 8).unwrap();
-        let admitted = fleet.request(index, millis, &quota, cost);
+        // The buckets start low and fill within the first second.
+        let admitted = cluster.request(index, millis, &quota, cost);
         assert!(admitted || millis < 1500, "refused at {millis} ms");
     }
 }
 
 /// All processes restart, and with an empty history they must not admit a whole
-/// window once more. The fault was first seen as 2199009 units admitted of
-/// 2178073.
+/// window once more. When they did, 2199009 units were admitted where 2178073
+/// were allowed.
 #[test]
 fn restarts_of_all_nodes_do_not_renew_a_quota() {
     let quota = quota(226_000.0);
-    let mut fleet = Fleet::new(8);
+    let mut cluster = Cluster::new(8);
     for step in 0..4000_u64 {
         let millis = step * 5;
         if millis % 100 == 0 {
-            fleet.exchange_reports(millis, |_, _| true);
+            cluster.exchange_reports(millis, |_, _| true);
         }
         if millis == 10_000 {
             for index in 0..8 {
-                fleet.restart(index, millis);
+                cluster.restart(index, millis);
             }
         }
-        fleet.request(usize::try_from(step % 8).unwrap(), millis, &quota, 6000);
+        cluster.request(usize::try_from(step % 8).unwrap(), millis, &quota, 6000);
     }
-    let highest = fleet.max_in_a_window();
+    let highest = cluster.max_in_a_window();
     assert!(
         highest <= allowed(&quota),
         "{highest} of {}",
@@ -202,18 +205,18 @@
 /// A data centre is cut off while the workspace exceeds its quota on both sides
 /// of the partition.
 #[test]
-fn both_sides_of_a_cut_keep_the_quota_together() {
+fn both_sides_of_a_partition_keep_the_quota_together() {
     let quota = quota(60_000.0);
-    let mut fleet = Fleet::new(8);
+    let mut cluster = Cluster::new(8);
     for step in 0..6000_u64 {
         let millis = step * 5;
         if millis % 100 == 0 {
             let partitioned = (10_000..20_000).contains(&millis);
-            fleet.exchange_reports(millis, |from, to| !partitioned || (from < 3) == (to < 3));
+            cluster.exchange_reports(millis, |from, to| !partitioned || (from < 3) == (to < 3));
         }
-        fleet.request(usize::try_from(step % 8).unwrap(), millis, &quota, 3000);
+        cluster.request(usize::try_from(step % 8).unwrap(), millis, &quota, 3000);
     }
-    let highest = fleet.max_in_a_window();
+    let highest = cluster.max_in_a_window();
     assert!(
         highest <= allowed(&quota),
         "{highest} of {}",
@@ -222,7 +225,7 @@
 }
 
 #[test]
-fn a_refusal_tells_what_it_is_based_on() {
+fn a_refusal_contains_the_figures_it_is_based_on() {
     let quota = quota(1000.0);
     let mut limiter = Limiter::new(Tolerance::default());
     let workspace = id::Workspace::from("w");
@@ -247,7 +250,7 @@
 }
 
 #[test]
-fn usage_told_counts_from_the_start_of_the_process() {
+fn reported_usage_counts_from_the_start_of_the_process() {
     let quota = quota(100_000.0);
     let mut limiter = Limiter::new(TOLERANCE);
     let workspace = id::Workspace::from("w");
@@ -262,18 +265,18 @@
 /// its quota. A second request between two reports must not be refused, as it
 /// was in a large deployment.
 #[test]
-fn nodes_with_old_news_admit_what_the_quota_covers() {
+fn nodes_with_outdated_reports_admit_what_the_quota_covers() {
     let quota = quota(300_000.0);
-    let mut fleet = Fleet::new(87);
+    let mut cluster = Cluster::new(87);
     for step in 0..1500_u64 {
         // Traffic starts a few seconds after the nodes.
         let millis = 9600 + step * 20;
         if millis % 1200 == 0 {
-            fleet.exchange_reports(millis, |_, _| true);
+            cluster.exchange_reports(millis, |_, _| true);
         }
         // Each node gets two requests in a row.
         let index = usize::try_from(step / 2 % 87).unwrap();
-        let admitted = fleet.request(index, millis, &quota, 3000);
+        let admitted = cluster.request(index, millis, &quota, 3000);
         assert!(admitted, "refused at {millis} ms");
     }
 }
--- a/lib/tests/test_route.rs
+++ b/lib/tests/test_route.rs
@@ -78,14 +78,14 @@
 }
 
 #[test]
-fn a_route_without_weight_leads_nowhere() {
+fn a_route_without_weight_has_no_service() {
     let mut route = route("r", "a.example", "/");
     route.targets[0].weight = 0;
     assert_eq!(route.service(7), None);
 }
 
 #[test]
-fn a_table_survives_being_told_to_another_node() {
+fn a_table_is_unchanged_after_serialising_it() {
     let table = table();
     let json = serde_json::to_string(&table).unwrap();
     assert_eq!(serde_json::from_str::<Table>(&json).unwrap(), table);
--- a/lib/tests/test_runs.rs
+++ b/lib/tests/test_runs.rs
@@ -35,12 +35,15 @@
     Ended,
 }
 
+/// One random sequence of events and the expected states of its requests.
 struct Run {
     rng: SmallRng,
     core: Scheduler,
+    /// Virtual time in milliseconds.
     now: u64,
     states: BTreeMap<u64, State>,
     tiers: BTreeMap<u64, u8>,
+    /// Endpoints that are listed as leaving or not listed.
     leaving: BTreeSet<id::Endpoint>,
     admissions: u64,
     refusals: u64,
@@ -116,6 +119,7 @@
         }
     }
 
+    /// Returns a random request in this state.
     fn pick(&mut self, state: State) -> Option<u64> {
         let of_state = self.states.iter().filter(|(_, each)| **each == state);
         let requests: Vec<u64> = of_state.map(|(request, _)| *request).collect();
@@ -163,6 +167,7 @@
         self.handle(Event::Ended(id::Request(request), outcome));
     }
 
+    /// Replaces the host list by a random one.
     fn list(&mut self) {
         self.leaving.clear();
         let mut records = Vec::new();
@@ -181,6 +186,7 @@
         self.handle(Event::Listed(records));
     }
 
+    /// Handles a random event; an arrival gets `number` as its request.
     fn step(&mut self, number: u64) {
         self.now += self.rng.random_range(0..40);
         let endpoint = id::Endpoint::from(format!("e{}", self.rng.random_range(0..7)));
--- a/lib/tests/test_straggler.rs
+++ b/lib/tests/test_straggler.rs
@@ -36,8 +36,8 @@
                 core.handle(at(now), Event::Withdrawn(Request(request)));
             }
         }
-        let ran = std::mem::take(&mut running);
-        for (request, slow) in ran {
+        let served = std::mem::take(&mut running);
+        for (request, slow) in served {
             let tokens = Tokens(if slow { speed / 2 } else { 25 });
             core.handle(at(now + 510), Event::Progressed(Request(request), tokens));
             let outcome = Outcome::Answered {
@@ -54,21 +54,21 @@
 fn straggler_loses_window_and_recovers() {
     let mut core = core(Policy::TwoChoices, 1200, 3);
     serve(&mut core, 0, 10_000, 50);
-    let sound = serve(&mut core, 20_000, 10_000, 50);
+    let normal = serve(&mut core, 20_000, 10_000, 50);
     serve(&mut core, 40_000, 20_000, 4);
     let slow = serve(&mut core, 70_000, 10_000, 4);
     serve(&mut core, 90_000, 60_000, 50);
-    let again = serve(&mut core, 160_000, 10_000, 50);
+    let recovered = serve(&mut core, 160_000, 10_000, 50);
     assert!(
         slow > 0,
         "a slow endpoint gets some work, so that its recovery is noticed"
     );
     assert!(
-        slow * 4 <= sound * 3,
-        "{sound} admissions at full speed, {slow} when slow"
+        slow * 4 <= normal * 3,
+        "{normal} admissions at full speed, {slow} when slow"
     );
     assert!(
-        again * 4 >= sound * 3,
-        "{sound} admissions before the slowdown, {again} after"
+        recovered * 4 >= normal * 3,
+        "{normal} admissions before the slowdown, {recovered} after"
     );
 }
