--- a/lib/examples/costs.rs
+++ b/lib/examples/costs.rs
@@ -32,7 +32,7 @@
     time,
 };
 
-/// Nodes, replicas and workspaces of each row.
+/// Number of nodes, endpoints (replicas) and workspaces of each row.
 const SIZES: [(usize, usize, usize); 6] = [
     (8, 23, 5),
     (8, 23, 33_000),
@@ -129,6 +129,7 @@
 
 struct Bench {
     scheduler: Scheduler,
+    /// Virtual time in microseconds.
     now: u64,
 }
 
@@ -214,10 +215,10 @@
     }
     let waiting = bench.scheduler.waiting();
     let backlog = bench.time_events(|_| Event::Tick);
-    let used = memory().saturating_sub(before) as f64 / 1e6;
+    let used_mb = memory().saturating_sub(before) as f64 / 1e6;
     let count = u64::from(REPETITIONS);
     println!(
-        "| {nodes}/{replicas} | {workspaces} | {request:.1} | {:.2} | {:.2} | {:.1} | {:.2} | {:.1} ({waiting}) | {used:.1} |",
+        "| {nodes}/{replicas} | {workspaces} | {request:.1} | {:.2} | {:.2} | {:.1} | {:.2} | {:.1} ({waiting}) | {used_mb:.1} |",
         micros(report, count),
         micros(cached, count),
         micros(tick, count),
--- a/lib/examples/experiment/driver.rs
+++ b/lib/examples/experiment/driver.rs
@@ -29,7 +29,7 @@
 /// Step of the simulation in microseconds.
 const STEP_MICROS: u64 = 10_000;
 
-/// Only requests that arrive between these seconds are measured.
+/// Only requests that arrive between these seconds of the run are measured.
 const MEASURED_SECONDS: (f64, f64) = (30.0, 90.0);
 
 /// Second at which the run ends.
@@ -48,54 +48,86 @@
 /// Results of a run; requests are counted by kind, work in decoded tokens.
 #[derive(Clone, Debug, Default)]
 pub struct Outcomes {
+    /// Requests that arrived, by kind.
     pub offered: [u64; 6],
+    /// Requests that were answered by their deadline, by kind.
     pub good: [u64; 6],
+    /// Work of the model requests that arrived.
     pub offered_work: f64,
+    /// Work of the model requests that were answered by their deadline.
     pub good_work: f64,
+    /// Work that the model engines can do in the measured time.
     pub capacity_work: f64,
+    /// Prompt tokens that engines computed.
     pub prefill: u64,
+    /// The part of `prefill` that another engine had cached, or that was computed
+    /// for a request which got no complete answer.
     pub wasted: u64,
+    /// Seconds to the first token of each model request of the highest tier.
     pub first_token: Vec<f64>,
+    /// Requests that were refused.
     pub refused: u64,
+    /// Refusals for overload or deadline while a lower tier waited for the same
+    /// service.
     pub violations: u64,
+    /// Messages of the admission protocol between nodes.
     pub messages: u64,
 }
 
 /// A scheduled action.
 enum Message {
+    /// The scheduler of a node gets an event.
     ToScheduler(usize, Event),
+    /// An engine gets a job.
     ToEngine(usize, Job),
+    /// The deadline of a node's request passes.
     Deadline(usize, u64),
 }
 
 /// A request that has not ended.
 struct Tracked {
+    /// Index in [`KINDS`].
     kind: usize,
+    /// Second of the run in which it arrived.
     arrived: f64,
     profile: Arc<Profile>,
+    /// Tokens of the part of its prompt that is unique to it.
     unique: u64,
+    /// Tokens of its answer.
     output: u64,
+    /// Hashes of its prompt's blocks, also without affinity.
     prefixes: Vec<id::Prefix>,
+    /// Engine that it was admitted to; `None` before.
     engine: Option<usize>,
+    /// The part of `prefill` that another engine had cached.
     wasted: u64,
+    /// Prompt tokens that the engine computes.
     prefill: u64,
 }
 
 /// A simulation run.
 pub struct Run {
     scenario: Scenario,
+    /// Virtual time in microseconds.
     now: u64,
+    /// Number of messages and requests so far.
     sequence: u64,
     /// Pending messages by due time and sequence.
     messages: BTreeMap<(u64, u64), Message>,
+    /// Scheduler of each node; `None` for a killed one.
     schedulers: Vec<Option<Scheduler>>,
     engines: Vec<Engine>,
+    /// Sequence number of each engine's last cache event.
     cache_sequences: Vec<u64>,
+    /// Requests that have not ended, by node and number.
     requests: BTreeMap<(usize, u64), Tracked>,
+    /// Number of waiting requests by service and tier.
     waiting: BTreeMap<(&'static str, u8), u64>,
     workload_rng: SmallRng,
     network_rng: SmallRng,
+    /// Whether requests carry prefixes and engines publish cache events.
     affinity: bool,
+    /// Whether the third data centre is cut off from the others.
     partitioned: bool,
     outcomes: Outcomes,
 }
@@ -116,6 +148,8 @@
 impl Run {
     pub fn new(scenario: Scenario, policy: Policy, affinity: bool, seed: u64) -> Self {
         let mut engines = Vec::new();
+        // Decoding speeds in tokens per second, of a full batch and of one stream,
+        // and tokens of running requests.
         let engine_sizes = [
             (2400.0, 80.0, 200_000),
             (1200.0, 60.0, 120_000),
@@ -225,8 +259,10 @@
 
     /// Returns whether a node reaches a data centre.
     fn is_reachable(&self, node: usize, data_centre: usize) -> bool {
-        let own = node % self.scenario.data_centres;
-        !self.partitioned || own == data_centre || (own != 2 && data_centre != 2)
+        let own_data_centre = node % self.scenario.data_centres;
+        !self.partitioned
+            || own_data_centre == data_centre
+            || (own_data_centre != 2 && data_centre != 2)
     }
 
     /// Returns a random delay from a node to a data centre in microseconds.
@@ -451,7 +487,8 @@
         self.handle_event(node, Event::Ended(id::Request(request), Outcome::Cancelled));
     }
 
-    /// Counts a request that an engine has worked on.
+    /// Counts a request that was admitted to an engine; `good` is whether it was
+    /// answered by its deadline.
     fn count(&mut self, tracked: &Tracked, good: bool) {
         if !Self::is_measured(tracked) {
             return;
@@ -675,7 +712,9 @@
         self.send_members();
     }
 
-    /// Ends the running requests that a fault has interrupted.
+    /// Ends the requests at engines that a fault has interrupted: those for whose
+    /// node and engine `lost` returns true. Their nodes learn of it after `delay`
+    /// microseconds.
     fn end_lost(
         &mut self,
         lost: impl Fn(&Self, usize, usize) -> bool,
--- a/lib/examples/experiment/fake.rs
+++ b/lib/examples/experiment/fake.rs
@@ -20,18 +20,21 @@
 /// A request in an engine.
 #[derive(Clone, Debug)]
 pub struct Job {
+    /// Node of the request.
     pub node: usize,
     pub request: u64,
+    /// Prompt tokens.
     pub prompt: u64,
+    /// Output tokens at which it ends.
     pub output: u64,
     pub prefixes: Vec<id::Prefix>,
-    /// Prompt tokens found in the prefix cache.
+    /// Prompt tokens found in the prefix cache when it started.
     pub cached: u64,
     /// Prompt tokens that still need prefill.
     pub prefill: f64,
     /// Output tokens decoded so far.
     pub produced: f64,
-    /// Whole output tokens decoded so far.
+    /// `produced` in whole tokens, at most `output`.
     pub decoded: u64,
     /// Output tokens that the node has been notified of.
     pub sent: u64,
@@ -40,9 +43,15 @@
 /// What happened to a job in a step.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Notice {
-    PrefillStarted { cached: u64 },
+    /// It started, with this many prompt tokens found in the cache.
+    PrefillStarted {
+        cached: u64,
+    },
     FirstToken,
-    Finished { cached: u64, output: u64 },
+    Finished {
+        cached: u64,
+        output: u64,
+    },
 }
 
 /// A simulated engine.
@@ -93,15 +102,18 @@
 
     /// Tokens of running and waiting requests.
     pub fn tokens(&self) -> u64 {
-        let held = |job: &Job| job.prompt + job.decoded;
-        let running: u64 = self.running.iter().map(held).sum();
-        running + self.waiting.iter().map(held).sum::<u64>()
+        let tokens = |job: &Job| job.prompt + job.decoded;
+        let running: u64 = self.running.iter().map(tokens).sum();
+        running + self.waiting.iter().map(tokens).sum::<u64>()
     }
 
-    /// Tokens of a prompt that the cache holds, from its prefixes.
+    /// Tokens of a prompt that are cached, given the prompt's prefixes.
     pub fn cached(&self, prefixes: &[id::Prefix]) -> u64 {
-        let held = |prefix: &id::Prefix| self.cache.contains_key(prefix);
-        let blocks = prefixes.iter().take_while(|prefix| held(prefix)).count();
+        let is_cached = |prefix: &id::Prefix| self.cache.contains_key(prefix);
+        let blocks = prefixes
+            .iter()
+            .take_while(|prefix| is_cached(prefix))
+            .count();
         blocks as u64 * BLOCK_TOKENS
     }
 
@@ -137,8 +149,8 @@
     /// Starts waiting jobs as long as their tokens fit.
     fn start_waiting(&mut self, notices: &mut Vec<(usize, u64, Notice)>) {
         while let Some(job) = self.waiting.front() {
-            let held: u64 = self.running.iter().map(|job| job.prompt + job.output).sum();
-            if !self.running.is_empty() && held + job.prompt + job.output > self.max_tokens {
+            let reserved: u64 = self.running.iter().map(|job| job.prompt + job.output).sum();
+            if !self.running.is_empty() && reserved + job.prompt + job.output > self.max_tokens {
                 return;
             }
             let Some(mut job) = self.waiting.pop_front() else {
@@ -187,15 +199,15 @@
         if self.cache.len() <= MAX_CACHE_BLOCKS {
             return;
         }
-        let mut ages: Vec<u64> = self.cache.values().copied().collect();
-        ages.sort_unstable();
-        let oldest = ages[self.cache.len() - MAX_CACHE_BLOCKS];
+        let mut uses: Vec<u64> = self.cache.values().copied().collect();
+        uses.sort_unstable();
+        let oldest_kept = uses[self.cache.len() - MAX_CACHE_BLOCKS];
         let changes = &mut self.changes;
         self.cache.retain(|prefix, used| {
-            if *used < oldest {
+            if *used < oldest_kept {
                 changes.push(Change::Removed(*prefix));
             }
-            *used >= oldest
+            *used >= oldest_kept
         });
     }
 }
--- a/lib/examples/experiment/main.rs
+++ b/lib/examples/experiment/main.rs
@@ -43,7 +43,8 @@
 /// Number of worker threads.
 const THREADS: usize = 4;
 
-/// Names of the columns.
+/// Names of the columns: fraction of good requests by kind, good work relative to
+/// the offered work or the capacity, whichever is less, and further results.
 const COLUMNS: [&str; 11] = [
     "tier 0",
     "tier 1",
@@ -84,7 +85,7 @@
     ]
 }
 
-/// Returns the median, the least and the greatest value.
+/// Returns the median, the minimum and the maximum.
 fn spread(mut values: Vec<f64>) -> (f64, f64, f64) {
     values.sort_by(f64::total_cmp);
     (
@@ -141,8 +142,8 @@
         }
     }
     let rows = run_all(&tasks, seeds);
-    let mut csv = String::from("scenario,way,column,median,least,greatest\n");
-    println!("| scenario | way | {} |", COLUMNS.join(" | "));
+    let mut csv = String::from("scenario,variant,column,median,least,greatest\n");
+    println!("| scenario | variant | {} |", COLUMNS.join(" | "));
     println!("| --- | --- |{}", " --- |".repeat(COLUMNS.len()));
     for ((scenario, (variant, ..)), runs) in tasks.iter().zip(&rows) {
         let mut line = format!("| {} | {variant} |", scenario.name);
--- a/lib/examples/experiment/scenario.rs
+++ b/lib/examples/experiment/scenario.rs
@@ -77,7 +77,8 @@
     0
 }
 
-/// Draws a length with the given mean, between about half and twice the mean.
+/// Draws a length in tokens with the given mean, between about half and twice the
+/// mean.
 pub fn length(rng: &mut SmallRng, mean: u64) -> u64 {
     let factor: f64 = 2f64.powf(rng.random_range(-1.0..1.0)) / 1.082;
     (mean as f64 * factor).round().max(1.0) as u64
@@ -100,9 +101,14 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     None,
+    /// The first engine runs at a tenth of its speed, to the end of the run.
     Straggler,
+    /// A node is killed and does not return.
     NodeKilled,
+    /// The third data centre is cut off from the others until `BURST_END`.
     DataCentreCut,
+    /// The first engine loses its requests and its cache, and returns at
+    /// `BURST_END`.
     EngineCrash,
 }
 
@@ -115,7 +121,7 @@
     pub engines: usize,
     /// Offered work relative to the capacity of the engines.
     pub load: f64,
-    /// Load between `FAULT_START` and `BURST_END`.
+    /// The same between `FAULT_START` and `BURST_END`.
     pub burst: f64,
     pub fault: Fault,
 }
@@ -123,7 +129,7 @@
 /// Second at which the fault or the burst begins.
 pub const FAULT_START: f64 = 45.0;
 
-/// Second at which the burst ends.
+/// Second at which the burst ends, and a fault that does not last.
 pub const BURST_END: f64 = 60.0;
 
 /// All scenarios, the most important first.
--- a/lib/examples/membership_run.rs
+++ b/lib/examples/membership_run.rs
@@ -1,4 +1,5 @@
-//! Simulates memberships under random faults, one run per seed:
+//! Simulates memberships under random faults, one run per seed, and prints the
+//! failed seeds and the greatest times of the others:
 //! `cargo run --release -p dottereltally-lib --example membership_run -- --seeds 1000 --first 0`.
 
 #[path = "../tests/cluster/mod.rs"]
--- a/lib/examples/plots.rs
+++ b/lib/examples/plots.rs
@@ -13,10 +13,10 @@
 /// Size of a plot in pixels.
 const SIZE: (u32, u32) = (1100, 480);
 
-/// Width of a scenario's group of bars as a fraction of its slot.
+/// Width of a scenario's group of bars as a fraction of its section of the x axis.
 const GROUP_WIDTH: f64 = 0.8;
 
-/// Values of one column: median, least and greatest by scenario and variant.
+/// Values of one column: median, minimum and maximum by scenario and variant.
 type Column = BTreeMap<(String, String), (f64, f64, f64)>;
 
 /// Rows of the file by column, with scenarios and variants in file order.
