--- a/lib/src/plan.rs
+++ b/lib/src/plan.rs
@@ -39,7 +39,7 @@
 pub struct Workspaces {
     /// The workspaces by name.
     pub names: BTreeMap<id::Workspace, Workspace>,
-    /// The workspace that each key belongs to.
+    /// The workspace that each API key belongs to, by the key itself.
     pub keys: HashMap<String, id::Workspace>,
 }
 
