--- a/gateway/src/heartbeat.rs
+++ b/gateway/src/heartbeat.rs
@@ -121,8 +121,8 @@
         entry.set_endpoint(endpoint.as_str());
         entry.set_requests(load.requests);
         entry.set_pending(load.pending);
-        let pace = load.pace.unwrap_or_default().as_micros();
-        entry.set_pace_micros(u32::try_from(pace).unwrap_or(u32::MAX));
+        let event_interval = load.event_interval.unwrap_or_default().as_micros();
+        entry.set_pace_micros(u32::try_from(event_interval).unwrap_or(u32::MAX));
     }
 }
 
@@ -132,11 +132,12 @@
 ) -> Result<Vec<(Endpoint, Load)>, capnp::Error> {
     let mut entries = Vec::new();
     for entry in list {
-        let pace = entry.get_pace_micros();
+        let event_interval = entry.get_pace_micros();
         let load = Load {
             requests: entry.get_requests(),
             pending: entry.get_pending(),
-            pace: (pace > 0).then(|| Duration::from_micros(pace.into())),
+            event_interval: (event_interval > 0)
+                .then(|| Duration::from_micros(event_interval.into())),
         };
         let endpoint = Endpoint::from(entry.get_endpoint()?.to_str()?);
         entries.push((endpoint, load));
--- a/gateway/tests/test_heartbeat.rs
+++ b/gateway/tests/test_heartbeat.rs
@@ -18,7 +18,7 @@
             Load {
                 requests: 3,
                 pending: 1200,
-                pace: Some(Duration::from_micros(25_300)),
+                event_interval: Some(Duration::from_micros(25_300)),
             },
         )],
         usage: BTreeMap::from([(
--- a/lib/src/dispatcher.rs
+++ b/lib/src/dispatcher.rs
@@ -186,7 +186,7 @@
     pub pending: u64,
     /// Mean time between two events, over the streams that ended since the last
     /// report; `None` if none ended.
-    pub pace: Option<Duration>,
+    pub event_interval: Option<Duration>,
 }
 
 /// A request in flight at an endpoint.
@@ -274,7 +274,9 @@
         loads: HashMap<id::Endpoint, Load>,
     ) -> Vec<Effect> {
         for (name, load) in &loads {
-            if let (Some(member), Some(event_interval)) = (self.members.get_mut(name), load.pace) {
+            if let (Some(member), Some(event_interval)) =
+                (self.members.get_mut(name), load.event_interval)
+            {
                 member.event_interval.record(event_interval.as_secs_f64());
             }
         }
--- a/lib/src/dispatcher/member.rs
+++ b/lib/src/dispatcher/member.rs
@@ -153,7 +153,7 @@
         let (sum, count) = mem::take(&mut self.unreported_intervals);
         let event_interval = (count > 0).then(|| Duration::from_secs_f64(sum / f64::from(count)));
         Load {
-            pace: event_interval,
+            event_interval,
             ..self.load()
         }
     }
@@ -164,7 +164,7 @@
         Load {
             requests: self.own_requests.saturating_sub(requests),
             pending: self.own_pending_tokens.saturating_sub(pending),
-            pace: None,
+            event_interval: None,
         }
     }
 
