--- a/lib/src/crash.rs
+++ b/lib/src/crash.rs
@@ -48,7 +48,7 @@
     }
 
     /// Records that a request's connection broke. It is not recorded while
-    /// [`MAX_BREAKS`] are kept.
+    /// `MAX_BREAKS` are kept.
     pub fn record_broken(
         &mut self,
         now: time::Instant,
@@ -93,7 +93,7 @@
     }
 
     /// Returns the marks to send to the other nodes, with their validity; each is
-    /// returned for [`MARK_SEND_TIME`].
+    /// returned for `MARK_SEND_TIME`.
     pub fn marks_to_share(&mut self, now: time::Instant) -> Vec<(id::Fingerprint, Duration)> {
         self.to_share.retain(|(_, until)| *until > now);
         let marks = self.to_share.iter();
