--- a/node/src/effects.rs
+++ b/node/src/effects.rs
@@ -1,5 +1,6 @@
 //! Carries out the effects of the decision core that do not answer a waiting
-//! request: probes, quarantine marks and messages to peers.
+//! request: probes, messages to peers and quarantine marks, which are
+//! fingerprints of suspected requests (`dottereltally_lib::quarantine`).
 
 use std::sync::{Arc, OnceLock};
 
@@ -23,10 +24,10 @@
     pub book: Book,
     /// Sends admission messages to the peers.
     pub peers: peer::Handle,
-    /// Membership protocol, which spreads quarantined fingerprints; set once it
-    /// runs.
+    /// Membership protocol, which gossips the quarantine marks; set once it runs.
+    /// Earlier marks are not gossiped.
     pub membership: Arc<OnceLock<membership::Handle>>,
-    /// Counts the fingerprints that the core asked to spread.
+    /// Counts the fingerprints that the core asked to gossip.
     pub quarantine_marks: Counter,
 }
 
--- a/node/src/membership.rs
+++ b/node/src/membership.rs
@@ -34,9 +34,9 @@
     peer::{Exchange, Handle as Peers, Service},
 };
 
-/// Delay before new fingerprints of crashing requests are sent ahead of the
+/// Delay before new fingerprints of crashing requests are gossiped ahead of the
 /// next round, so that several are sent together.
-const SPREAD_DELAY: Duration = Duration::from_millis(5);
+const EARLY_GOSSIP_DELAY: Duration = Duration::from_millis(5);
 
 /// Counters of the membership.
 #[derive(Clone, Debug, Default)]
@@ -69,11 +69,11 @@
 /// This node as its peers see it.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Its name.
+    /// Name of the node.
     pub node: id::Node,
-    /// Its data centre.
+    /// Data centre of the node.
     pub data_centre: id::DataCentre,
-    /// Where peers reach it, `ip:port`.
+    /// Address at which peers reach the node, `ip:port`.
     pub address: String,
 }
 
@@ -91,9 +91,9 @@
     pub peers: Peers,
     /// Heartbeats received from peers.
     pub exchanges: mpsc::Receiver<Exchange>,
-    /// Provides the generation in force.
+    /// Provides the generation in force and records higher ones of peers.
     pub service: Arc<dyn Service>,
-    /// Receives the events.
+    /// Receives the changes of the live nodes and the fingerprints from peers.
     pub dispatcher: H,
     /// Counters.
     pub metrics: Metrics,
@@ -109,12 +109,12 @@
     Requested(Exchange),
     /// A peer answered this node's heartbeat.
     Answered(Heartbeat),
-    /// A peer did not answer this node's heartbeat.
+    /// A peer did not answer this node's heartbeat, or another node answered it.
     Failed(id::Node),
-    /// Spread a fingerprint of a crashing request while it is valid.
+    /// Gossip the fingerprint of a crashing request for the given time.
     Quarantine(id::Fingerprint, Duration),
-    /// Send the pending updates ahead of the next round.
-    Spread,
+    /// Gossip the pending updates ahead of the next round.
+    GossipNow,
     /// Tell the peers that this node shuts down.
     Leave(oneshot::Sender<()>),
     /// Reply with the live nodes.
@@ -128,9 +128,9 @@
 }
 
 impl Handle {
-    /// Spreads a fingerprint of a crashing request for as long as it is valid.
-    pub fn quarantine(&self, fingerprint: id::Fingerprint, valid: Duration) {
-        self.cast(Message::Quarantine(fingerprint, valid));
+    /// Gossips the fingerprint of a crashing request until `ttl` has passed.
+    pub fn quarantine(&self, fingerprint: id::Fingerprint, ttl: Duration) {
+        self.cast(Message::Quarantine(fingerprint, ttl));
     }
 
     /// Tells the peers that this node shuts down; returns once the exchanges
@@ -142,7 +142,7 @@
         let _ = receiver.await;
     }
 
-    /// Returns the live nodes, this one included.
+    /// Returns the live nodes, this one included; none once the actor has stopped.
     pub async fn members(&self) -> Vec<Member> {
         let (sender, receiver) = oneshot::channel();
         self.cast(Message::Members(sender));
@@ -173,7 +173,7 @@
     Ok(Handle { actor })
 }
 
-/// The actor.
+/// The actor that owns the [`Membership`].
 struct Controller<H>(std::marker::PhantomData<fn() -> H>);
 
 /// State of the actor.
@@ -184,7 +184,7 @@
     service: Arc<dyn Service>,
     dispatcher: H,
     metrics: Metrics,
-    is_spread_scheduled: bool,
+    is_gossip_scheduled: bool,
 }
 
 impl<H: dispatcher::Handle> Actor for Controller<H> {
@@ -218,7 +218,7 @@
             service: arguments.service,
             dispatcher: arguments.dispatcher,
             metrics: arguments.metrics,
-            is_spread_scheduled: false,
+            is_gossip_scheduled: false,
         })
     }
 
@@ -252,13 +252,13 @@
             }
             Message::Answered(heartbeat) => self.membership.handle_answer(now, &heartbeat),
             Message::Failed(node) => self.membership.handle_failure(now, &node),
-            Message::Quarantine(fingerprint, valid) => {
-                self.membership.gossip_fingerprint(now, fingerprint, valid);
-                self.schedule_spread(myself);
+            Message::Quarantine(fingerprint, ttl) => {
+                self.membership.gossip_fingerprint(now, fingerprint, ttl);
+                self.schedule_gossip(myself);
                 Vec::new()
             }
-            Message::Spread => {
-                self.is_spread_scheduled = false;
+            Message::GossipNow => {
+                self.is_gossip_scheduled = false;
                 self.membership.gossip_now(now)
             }
             Message::Leave(done) => {
@@ -266,7 +266,7 @@
                 return;
             }
             Message::Members(reply) => {
-                // The caller may have stopped waiting.
+                // Fails only if the receiver was dropped.
                 let _ = reply.send(self.membership.members());
                 return;
             }
@@ -295,7 +295,7 @@
             Effect::Fingerprints(fingerprints) => {
                 self.metrics.fingerprints.inc_by(fingerprints.len() as u64);
                 self.dispatcher.send(Event::Suspected(fingerprints));
-                self.schedule_spread(myself);
+                self.schedule_gossip(myself);
             }
             Effect::NewerGeneration(node, generation) => {
                 self.peers.prefer(node);
@@ -304,21 +304,22 @@
         }
     }
 
-    /// Schedules one early spread of the fingerprints, unless one is scheduled
-    /// already.
-    fn schedule_spread(&mut self, myself: &ActorRef<Message>) {
-        if self.is_spread_scheduled {
+    /// Schedules gossip of new fingerprints ahead of the next round, unless it is
+    /// scheduled already.
+    fn schedule_gossip(&mut self, myself: &ActorRef<Message>) {
+        if self.is_gossip_scheduled {
             return;
         }
-        self.is_spread_scheduled = true;
+        self.is_gossip_scheduled = true;
         let myself = myself.clone();
         tokio::spawn(async move {
-            sleep(SPREAD_DELAY).await;
+            sleep(EARLY_GOSSIP_DELAY).await;
             // Fails only if the actor has stopped.
-            let _ = myself.cast(Message::Spread);
+            let _ = myself.cast(Message::GossipNow);
         });
     }
 
+    /// Passes the changed live nodes to the peer client and the dispatcher.
     fn publish(&mut self, members: &[Member]) {
         self.peers.set_addresses(self.membership.addresses());
         self.metrics.changes.inc();
@@ -358,13 +359,13 @@
                 // A failed exchange has nothing more to wait for.
                 let _ = exchange.await;
             }
-            // The caller may have stopped waiting.
+            // Fails only if the receiver was dropped.
             let _ = done.send(());
         });
     }
 }
 
-/// Returns the entry hosts of a host list.
+/// Returns the hosts that run a node, the entry hosts of the host list.
 fn entry_hosts(snapshot: &Snapshot) -> Vec<Host> {
     let mut hosts = Vec::new();
     for entry in &snapshot.entries {
@@ -377,9 +378,10 @@
     hosts
 }
 
-/// Returns a number that is higher in every later process of this node. Should
-/// the wall clock have been set back, the membership raises the number above
-/// the one that a peer remembers.
+/// Returns the incarnation of this process: the wall-clock time in milliseconds
+/// since 1970, which is higher in every later process of this node. Should the
+/// wall clock have been set back, the membership raises the number above the
+/// one that a peer remembers.
 fn incarnation() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let millis = since.unwrap_or_default().as_millis();
@@ -402,7 +404,7 @@
     let _ = actor.cast(message);
 }
 
-/// Starts rounds until the actor stops.
+/// Starts a gossip round each period, with jitter, until the actor stops.
 async fn tick(actor: ActorRef<Message>, period: Duration) {
     loop {
         let jitter = rand::rng().random_range(0.8..1.2);
