--- a/node/src/claim.rs
+++ b/node/src/claim.rs
@@ -1,7 +1,9 @@
 //! The exclusive right to run a non-idempotent call, stored in the key-value
 //! service.
 //!
-//! An attempt claims its key with one transaction that writes the attempt's
+//! Each request for such a call is an attempt, identified by a random token;
+//! requests that repeat the call with the same idempotency key are further
+//! attempts. An attempt claims its key with one transaction that writes the attempt's
 //! token if the key is absent and reads the key otherwise. An attempt that
 //! reads back its own token holds the claim. The transaction is repeated with
 //! the same token until it is answered, so a lost answer does no harm.
--- a/node/src/claim/breaker.rs
+++ b/node/src/claim/breaker.rs
@@ -3,8 +3,9 @@
 //!
 //! The first failed call opens the breaker. From then on the service is tried
 //! with one read at a time; after a successful read the breaker admits a
-//! single claim, whose success closes the breaker. A service that answers
-//! reads but loses writes therefore delays only one claim per period.
+//! single claim, and the answer to its transaction closes the breaker. A
+//! service that answers reads but loses writes therefore delays only one claim
+//! per period.
 
 use std::{
     mem,
@@ -32,7 +33,8 @@
     Open,
     /// The next claim.
     HalfOpen,
-    /// No claim while the one admitted in [`State::HalfOpen`] is in progress.
+    /// No claim until the one admitted in [`State::HalfOpen`] has closed or
+    /// opened the breaker; after [`TRIAL_PERIOD`] the next one is admitted.
     Trial,
 }
 
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Records a successful transaction, which closes the breaker.
+    /// Records an answered transaction, which closes the breaker.
     pub(super) fn close(&self) {
         let old = mem::take(&mut *self.lock());
         if old != State::Closed {
--- a/node/src/claim/held.rs
+++ b/node/src/claim/held.rs
@@ -53,7 +53,10 @@
 /// An attempt that has not been dispatched; dropping it abandons the attempt
 /// permanently.
 pub(super) struct Pending {
+    /// None once the attempt was dispatched or released, so that dropping this
+    /// does nothing.
     context: Option<Context>,
+    /// Time before the first claiming transaction was sent.
     requested: Timestamp,
     maybe_stored: bool,
 }
@@ -176,6 +179,8 @@
 /// Dropping it records that the response is unknown.
 #[must_use = "dropping it records that the response is unknown"]
 pub struct Dispatched {
+    /// None once the attempt has ended or its dispatch was reverted, so that
+    /// dropping this does nothing.
     context: Option<Context>,
     requested: Timestamp,
 }
--- a/node/src/claim/identity.rs
+++ b/node/src/claim/identity.rs
@@ -10,9 +10,13 @@
 /// Key, token and stored value of one attempt's claim.
 #[derive(Debug)]
 pub(super) struct Identity {
+    /// Key of the claim in the key-value service.
     pub(super) key: String,
+    /// Random token of the attempt.
     pub(super) token: String,
+    /// Encoded [`layout::Claim`] that is stored at the key.
     pub(super) value: Vec<u8>,
+    /// Fingerprint of the request.
     pub(super) fingerprint: id::Fingerprint,
 }
 
--- a/node/src/claim/keeper.rs
+++ b/node/src/claim/keeper.rs
@@ -45,12 +45,12 @@
 /// Retry delay for a caller whose call is already running.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Retry delay for a caller whose call's holder can't be reached.
+/// Retry delay for a caller whose claim is held by a node that can't be reached.
 const RETRY_AFTER_UNREACHABLE: Duration = Duration::from_secs(5);
 
-/// Number of answered transactions after which an attempt that does not hold
-/// the claim gives up.
-const MAX_ROUNDS: usize = 8;
+/// Maximum number of answered transactions of one attempt; if none acquires the
+/// claim, the call is refused as running.
+const MAX_TRANSACTIONS: usize = 8;
 
 /// Content of a claim's key.
 enum Found {
@@ -193,7 +193,7 @@
             counters: self.0.counters.clone(),
         });
         let mut abandoned = None;
-        for _ in 0..MAX_ROUNDS {
+        for _ in 0..MAX_TRANSACTIONS {
             let found = self
                 .transact(&mut pending, &identity, abandoned.as_deref(), deadline)
                 .await?;
--- a/node/src/claim/lease.rs
+++ b/node/src/claim/lease.rs
@@ -43,7 +43,8 @@
 }
 
 impl Keeper {
-    /// Returns the current lease, waiting for one at most until `deadline`.
+    /// Returns the current lease, waiting for one at most until `deadline`; none
+    /// if there is still none then.
     pub(super) async fn get(&self, deadline: time::Instant) -> Option<kv::Lease> {
         loop {
             let mut changed = pin!(self.changed.notified());
@@ -101,7 +102,7 @@
                 Ok(lease) => {
                     *self.lock() = Some(Granted { lease, requested });
                     self.changed.notify_waiters();
-                    let _due = time::timeout(GRANT_PERIOD, self.wait_until_none()).await;
+                    let _period_over = time::timeout(GRANT_PERIOD, self.wait_until_none()).await;
                 }
                 Err(error) => {
                     if !matches!(error, kv::Error::Refused(_)) {
--- a/node/src/claim/releaser.rs
+++ b/node/src/claim/releaser.rs
@@ -21,11 +21,12 @@
 /// Longest delay between two background tries.
 const MAX_RETRY_DELAY: Duration = Duration::from_mins(1);
 
-/// Number of background tries to release one claim.
+/// Maximum number of background tries to release one claim, which is then left
+/// to expire with its lease, or to be taken over by another attempt.
 const MAX_TRIES: u32 = 20;
 
-/// Number of claims that are released concurrently; further ones are left to
-/// expire with their lease, or to be taken over by another attempt.
+/// Maximum number of claims that are released concurrently; further ones are
+/// left to expire with their lease, or to be taken over by another attempt.
 const MAX_TASKS: usize = 4096;
 
 /// A claim to be released.
@@ -86,7 +87,7 @@
             reply: None,
             _outstanding: Outstanding::new(&self.outstanding),
         };
-        let _stopped = self.jobs.send(job);
+        let _releaser_stopped = self.jobs.send(job);
     }
 }
 
@@ -133,7 +134,7 @@
             .await
             .unwrap_or(Err(Error::Unconfirmed));
         let is_final = matches!(result, Ok(()) | Err(Error::Claimed));
-        let _gone = reply.send(result);
+        let _receiver_dropped = reply.send(result);
         if is_final {
             return;
         }
