--- a/node/src/peer.rs
+++ b/node/src/peer.rs
@@ -63,7 +63,8 @@
 
 /// Calls peers.
 pub trait Peers: Clone + Send + Sync + 'static {
-    /// Asks the node that holds a claim for the status of its attempt.
+    /// Asks the node that holds a claim for the status of its attempt; `claim` is
+    /// the claim's key in the key-value service.
     ///
     /// # Errors
     ///
@@ -76,7 +77,7 @@
     ) -> impl Future<Output = Result<Status, Error>> + Send;
 
     /// Asks live peers for a configuration with a generation higher than
-    /// `above`.
+    /// `above`; none if no peer that was asked has one.
     fn configuration(
         &self,
         above: id::Generation,
@@ -89,14 +90,15 @@
 
 /// Answers the calls of peers.
 pub trait Service: Send + Sync + 'static {
-    /// Returns the status of an attempt of this node.
+    /// Returns the status of an attempt of this node; `claim` is the key of its
+    /// claim.
     fn attempt_status(&self, claim: &str, token: &str) -> Status;
 
     /// Returns the configuration in force if its generation is higher than
     /// `above`.
     fn configuration(&self, above: id::Generation) -> Option<layout::Configuration>;
 
-    /// Returns the generation in force.
+    /// Returns the generation in force, zero if there is none.
     fn generation(&self) -> id::Generation;
 
     /// Records that a peer has a higher generation in force.
--- a/node/src/peer/handle.rs
+++ b/node/src/peer/handle.rs
@@ -29,13 +29,15 @@
     server::{self, Exchange, Shared},
 };
 
-/// Number of calls that may be queued for the thread.
+/// Maximum number of calls queued for the thread; further ones fail at once.
 const MAX_QUEUED_CALLS: usize = 1024;
-/// Number of peers' heartbeats that may be queued for the membership.
+/// Maximum number of peers' heartbeats queued for the membership; further ones
+/// are answered with an overload error.
 const MAX_QUEUED_EXCHANGES: usize = 256;
-/// Number of admission messages that may be queued for one peer.
+/// Maximum number of admission messages queued for one peer; the oldest is
+/// dropped to make room for a further one.
 const MAX_OUTBOX_MESSAGES: usize = 256;
-/// Number of peers that are asked for a configuration.
+/// Maximum number of peers that are asked for one configuration.
 const MAX_CANDIDATES: usize = 4;
 /// Time between two checks for idle connections.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
@@ -178,7 +180,7 @@
                     reply,
                 }) => {
                     spawn_local(async move {
-                        // Fails only if the caller has stopped waiting.
+                        // Fails only if the receiver was dropped.
                         let _ = reply.send(worker.pool.call(&address, &call).await);
                     });
                 }
@@ -207,7 +209,8 @@
         }
     }
 
-    /// Removes the oldest message for a node, or the outbox if it is empty.
+    /// Removes and returns the oldest message for a node; removes the outbox if it
+    /// is empty.
     fn pop_message(&self, node: &id::Node) -> Option<event::Message> {
         let mut outboxes = lock(&self.state.outboxes);
         let message = outboxes.get_mut(node)?.pop_front();
--- a/node/src/peer/metrics.rs
+++ b/node/src/peer/metrics.rs
@@ -10,7 +10,9 @@
 pub struct Metrics {
     /// Calls to peers.
     pub calls: Counter,
-    /// Calls to peers that failed on a new connection as well.
+    /// Calls to peers that failed, idempotent ones on a new connection as well.
+    /// A call that must not be repeated is not counted if its connection could
+    /// not be opened.
     pub failures: Counter,
     /// Connections opened to peers.
     pub opened: Counter,
--- a/node/src/peer/server.rs
+++ b/node/src/peer/server.rs
@@ -15,7 +15,8 @@
 
 use crate::peer::{Service, metrics::Metrics, stream, wire};
 
-/// Number of peers' connections that are served concurrently.
+/// Maximum number of peers' connections that are served concurrently; further
+/// ones are closed at once.
 const MAX_CONNECTIONS: usize = 1024;
 /// Time without a call after which a peer's connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
--- a/node/src/peer/wire.rs
+++ b/node/src/peer/wire.rs
@@ -13,13 +13,13 @@
 
 use crate::peer::{Response, Status};
 
-/// Number of members in one heartbeat.
+/// Maximum number of members in a received heartbeat.
 const MAX_MEMBERS: u32 = 4096;
-/// Number of fingerprints in one heartbeat.
+/// Maximum number of fingerprints in a received heartbeat.
 const MAX_FINGERPRINTS: u32 = 4096;
-/// Number of entries in one admission message.
+/// Maximum number of entries in a received admission message.
 const MAX_ADMISSION_ENTRIES: u32 = 4096;
-/// Longest name or address, bytes.
+/// Longest name or address that is read, bytes.
 const MAX_NAME_BYTES: usize = 256;
 
 /// Reads a name or an address.
