--- a/node/src/answer.rs
+++ b/node/src/answer.rs
@@ -24,13 +24,14 @@
 /// Response header in which engines report their load.
 pub const LOAD_HEADER: &str = "endpoint-load-metrics";
 
+/// Start of the content type of a stream of server-sent events.
 const EVENT_STREAM: &[u8] = b"text/event-stream";
 
 /// Returns whether the response is a stream of server-sent events.
 #[must_use]
 pub fn is_event_stream(headers: &HeaderMap) -> bool {
-    let kind = headers.get(CONTENT_TYPE);
-    kind.is_some_and(|kind| kind.as_bytes().starts_with(EVENT_STREAM))
+    let content_type = headers.get(CONTENT_TYPE);
+    content_type.is_some_and(|value| value.as_bytes().starts_with(EVENT_STREAM))
 }
 
 /// Streams the response to the caller as it arrives.
@@ -99,6 +100,7 @@
             continue;
         };
         if content.len() + data.len() > limit {
+            // Dropping the tracker reports the request as cancelled.
             return Err(failure(Reason::AnswerTooLarge));
         }
         content.extend_from_slice(&data);
--- a/node/src/classify.rs
+++ b/node/src/classify.rs
@@ -66,9 +66,10 @@
     let mut calls = Vec::new();
     let mut path_known = false;
     for call in rules.configuration.calls.values() {
-        let any_model = call.model.as_ref();
-        path_known |= call.matches(&call.method, uri.path(), any_model);
-        if call.matches(method.as_str(), uri.path(), any_model) {
+        // The call's own model always matches, as the body is not read yet.
+        let own_model = call.model.as_ref();
+        path_known |= call.matches(&call.method, uri.path(), own_model);
+        if call.matches(method.as_str(), uri.path(), own_model) {
             calls.push(call);
         }
     }
@@ -287,7 +288,8 @@
     TIME_PER_TOKEN.saturating_mul(u32::try_from(output.0).unwrap_or(u32::MAX))
 }
 
-/// Hashes the workspace, the call, the target and the body of a request.
+/// Returns the fingerprint of a request, a hash of its workspace, call, target
+/// and body; requests with the same fingerprint count as the same request.
 fn fingerprint(
     workspace: &id::Workspace,
     call: &id::Call,
--- a/node/src/clock.rs
+++ b/node/src/clock.rs
@@ -1,4 +1,4 @@
-//! The monotonic clock that provides the scheduler's time.
+//! The monotonic clock that provides the decision core's time.
 
 use dottereltally_lib::time::Instant;
 use tokio::time;
--- a/node/src/configuration.rs
+++ b/node/src/configuration.rs
@@ -64,8 +64,8 @@
         (record.generation > above).then(|| record.clone())
     }
 
-    /// Records that a peer has a generation in force, so that it is fetched if
-    /// it is higher than the own one.
+    /// Records a generation that a peer has in force, so that its configuration
+    /// is fetched if the generation is higher than this node's.
     pub fn note_generation(&self, generation: id::Generation) {
         self.reported.send_if_modified(|reported| {
             let is_higher = generation > *reported;
--- a/node/src/configuration/source.rs
+++ b/node/src/configuration/source.rs
@@ -85,7 +85,7 @@
 
 impl Feed {
     fn offer(&self, record: layout::Configuration) {
-        let _stopped = self.actor.cast(Message::Offer(record));
+        let _controller_stopped = self.actor.cast(Message::Offer(record));
     }
 
     /// Offers the key's value to the controller.
@@ -131,6 +131,7 @@
         let start = Instant::now();
         let seen = Revision(feed.read_revision.load(Ordering::Relaxed));
         let is_behind = feed.watched_revision.load(Ordering::Relaxed) < seen.0;
+        // The watch has had a whole period to report what the last read returned.
         if is_behind {
             feed.missed.notify_one();
         }
--- a/node/src/controllers.rs
+++ b/node/src/controllers.rs
@@ -35,13 +35,13 @@
 pub struct Controllers {
     /// Addresses of the endpoints.
     pub book: Book,
-    /// Sends events to the scheduler.
+    /// Sends events to the decision core.
     pub dispatcher: Sender,
     /// Finishes when the dispatcher stops.
     pub dispatcher_task: JoinHandle<()>,
     /// Acquires claims.
     pub keeper: Keeper,
-    /// Knows the live nodes.
+    /// Provides the live nodes.
     pub membership: membership::Handle,
     /// The rules in force.
     pub rules: rules::Receiver,
@@ -56,16 +56,19 @@
     attempts: replay::Attempts,
     service: Arc<Service>,
     peers: peer::Handle,
+    /// Heartbeats of peers, to be answered by the membership.
     exchanges: mpsc::Receiver<peer::Exchange>,
-    address: SocketAddr,
+    /// Address on which this node listens for peers.
+    peer_address: SocketAddr,
 }
 
 impl Base {
-    /// Starts the thread of the peers and builds the parts without a task.
+    /// Starts the thread that serves and calls peers, and builds the parts that
+    /// need no task.
     ///
     /// # Errors
     ///
-    /// Fails if the thread of the peers can't be started.
+    /// Fails if the thread can't be started.
     pub fn start(
         settings: &Settings,
         clock: Clock,
@@ -77,11 +80,12 @@
         let service = Arc::new(Service::new(configuration.clone(), attempts.clone()));
         let metrics = peer::Metrics::default();
         metrics.register(registry);
-        let address = listener.local_addr()?;
+        let peer_address = listener.local_addr()?;
         let listener = listener.into_std()?;
         let (peers, exchanges) =
-            peer::start(settings.node.clone(), listener, service.clone(), metrics)
-                .wrap_err("the thread of the peers can't be started; check the host's limits")?;
+            peer::start(settings.node.clone(), listener, service.clone(), metrics).wrap_err(
+                "the thread for peer connections can't be started; check the host's limits",
+            )?;
         Ok(Self {
             store: etcd::Store::new(settings.platform.kv.clone(), settings.platform.timeout),
             settings: settings.clone(),
@@ -91,7 +95,7 @@
             service,
             peers,
             exchanges,
-            address,
+            peer_address,
         })
     }
 }
@@ -170,7 +174,7 @@
     Ok(rules)
 }
 
-/// Passes every configuration that comes into force to the scheduler.
+/// Passes every configuration that comes into force to the decision core.
 async fn forward_rules(mut rules: rules::Receiver, dispatcher: Sender) {
     loop {
         let current = rules.borrow_and_update().clone();
@@ -230,7 +234,7 @@
         identity: membership::Identity {
             node: base.settings.node,
             data_centre: base.settings.data_centre,
-            address: base.address.to_string(),
+            address: base.peer_address.to_string(),
         },
         settings: members::Settings::default(),
         clock: base.clock,
--- a/node/src/dispatcher.rs
+++ b/node/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The actor that drives the decision core.
+//! The actor that drives the decision core, a [`Scheduler`].
 
 use std::{collections::HashMap, future::Future, sync::Arc, time::Duration};
 
@@ -75,7 +75,8 @@
     /// Probes an endpoint on a new connection and reports the result.
     fn probe(&self, dispatcher: &Sender, endpoint: id::Endpoint);
 
-    /// Tells the peers the fingerprint of a request that crashed endpoints.
+    /// Sends a quarantine mark, the fingerprint of a request suspected of crashing
+    /// endpoints, to the peers.
     fn quarantine(&self, fingerprint: id::Fingerprint);
 
     /// Sends a message of the admission protocol to a peer.
@@ -175,7 +176,7 @@
             }
             Message::Event(event) => state.process(event),
             Message::Describe(reply) => {
-                // The asker may have stopped waiting.
+                // Fails only if the receiver was dropped.
                 let _ = reply.send(state.view());
             }
         }
--- a/node/src/filter.rs
+++ b/node/src/filter.rs
@@ -264,6 +264,8 @@
     }
 }
 
+/// Returns the problem for a failed call that needs no claim, so that
+/// [`Error::ClaimExpired`] does not occur.
 fn problem(error: Error<Unclaimed>) -> Problem {
     match error {
         Error::Refused(refused, _) => Problem::refused(&refused.proof, refused.refusal),
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,6 +1,9 @@
-//! The daemon of dottereltally.
+//! The daemon of dottereltally, which schedules callers' HTTP requests onto the
+//! endpoints of the configured services.
 //!
-//! A chain of filters serves the requests; controllers keep the state.
+//! A chain of filters ([`filter`]) serves each request. The decision core
+//! (`dottereltally_lib::scheduler`), driven by the [`dispatcher`], assigns the
+//! endpoints. Controllers ([`controllers`]) keep the node's state.
 
 pub mod address;
 pub mod answer;
--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -77,8 +77,9 @@
         .wrap_err_with(|| format!("can't listen on {address}; change `listen.{field}`"))
 }
 
-/// Returns the number of the first request, higher than those of earlier
-/// processes of the node as long as the wall clock is not set back.
+/// Returns the number of the first request: the wall-clock time in microseconds
+/// since 1970. It is higher than the numbers of the node's earlier processes as
+/// long as the wall clock is not set back.
 fn first_request_number() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     u64::try_from(since.unwrap_or_default().as_micros()).unwrap_or_default()
@@ -89,6 +90,7 @@
     callers: JoinHandle<()>,
     operations: JoinHandle<()>,
     limiter: Limiter,
+    /// Becomes true when the server for operators has to stop.
     stop: watch::Sender<bool>,
 }
 
@@ -154,7 +156,7 @@
 /// Time at shutdown to release the claims of abandoned calls.
 const CLAIM_RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Runs a node until it is told to stop.
+/// Runs a node until a signal requests its shutdown.
 ///
 /// # Errors
 ///
--- a/node/src/observer.rs
+++ b/node/src/observer.rs
@@ -24,9 +24,9 @@
 
 /// Shortest mean time between two polls of one endpoint.
 const MIN_POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// Number of polls per second that one node starts at the most.
+/// Maximum number of polls per second that one node starts.
 const MAX_POLLS_PER_SECOND: f64 = 24.0;
-/// Number of polls that run concurrently.
+/// Maximum number of polls that run concurrently.
 const MAX_CONCURRENT_POLLS: usize = 16;
 
 /// Counters of the observer.
--- a/node/src/observer/cache.rs
+++ b/node/src/observer/cache.rs
@@ -26,7 +26,7 @@
 const MIN_REOPEN_DELAY: Duration = Duration::from_millis(500);
 /// Longest delay before a stream is reopened.
 const MAX_REOPEN_DELAY: Duration = Duration::from_secs(30);
-/// Delay for an endpoint that offers no cache events.
+/// Delay before an endpoint that offered no cache events is asked again.
 const ABSENT_DELAY: Duration = Duration::from_mins(1);
 /// Time limit for the head of the response.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
--- a/node/src/operations.rs
+++ b/node/src/operations.rs
@@ -25,7 +25,7 @@
     pub generation: id::Generation,
     /// Whether the node is shutting down.
     pub draining: bool,
-    /// Whether the platform responds.
+    /// Whether the key-value service is available, as far as this node knows.
     pub platform: bool,
     /// Peers that are live.
     pub peers: Vec<id::Node>,
@@ -104,10 +104,14 @@
     }
 }
 
-fn page(status: StatusCode, kind: &'static str, content: impl Into<Bytes>) -> Response<Body> {
+fn page(
+    status: StatusCode,
+    content_type: &'static str,
+    content: impl Into<Bytes>,
+) -> Response<Body> {
     let mut response = Response::new(Body::full(content.into()));
     *response.status_mut() = status;
-    let kind = HeaderValue::from_static(kind);
-    response.headers_mut().insert(CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static(content_type);
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
--- a/node/src/process.rs
+++ b/node/src/process.rs
@@ -44,6 +44,8 @@
     }
 }
 
+/// Returns the processor time of the process, user and system; none if `/proc`
+/// can't be read or parsed, so that the metric is left out.
 fn processor_seconds() -> Option<f64> {
     let stat = fs::read_to_string("/proc/self/stat").ok()?;
     let (_, fields) = stat.rsplit_once(") ")?;
@@ -53,6 +55,8 @@
     Some((user + system) / TICKS_PER_SECOND)
 }
 
+/// Returns the resident memory of the process; none if `/proc` can't be read or
+/// parsed, so that the metric is left out.
 fn resident_bytes() -> Option<i64> {
     let status = fs::read_to_string("/proc/self/status").ok()?;
     for line in status.lines() {
--- a/node/src/replay.rs
+++ b/node/src/replay.rs
@@ -92,6 +92,7 @@
 
 /// The claim and the state of an attempt.
 struct Attempt {
+    /// Key of the claim in the key-value service.
     claim: String,
     state: State,
 }
@@ -100,6 +101,7 @@
 struct Ended {
     token: String,
     at: Instant,
+    /// Memory of the attempt, bytes.
     size: usize,
 }
 
@@ -108,6 +110,7 @@
 struct Inner {
     attempts: HashMap<String, Attempt>,
     ended: VecDeque<Ended>,
+    /// Memory of all ended attempts, bytes.
     bytes: usize,
 }
 
@@ -142,7 +145,8 @@
         &self.counters
     }
 
-    /// Returns the status of an attempt, as sent to peers.
+    /// Returns the status of an attempt, as sent to peers; `claim` is the key of
+    /// its claim.
     #[must_use]
     pub fn status(&self, claim: &str, token: &str) -> Status {
         let inner = self.lock();
--- a/node/src/settings.rs
+++ b/node/src/settings.rs
@@ -29,19 +29,19 @@
 /// Validated settings of a node.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The node's name.
+    /// Name of the node.
     pub node: id::Node,
-    /// Its data centre.
+    /// Data centre of the node.
     pub data_centre: id::DataCentre,
-    /// Addresses on which it listens.
+    /// Addresses on which the node listens.
     pub listen: Listen,
     /// Addresses of the platform.
     pub platform: Platform,
     /// Limits on requests.
     pub limits: Limits,
-    /// How it stops.
+    /// How the node stops.
     pub shutdown: Shutdown,
-    /// What it logs.
+    /// What the node logs.
     pub log: Log,
 }
 
@@ -56,7 +56,7 @@
     pub operations: String,
 }
 
-/// Addresses of the platform.
+/// Addresses of the platform: the key-value service and the host list.
 #[derive(Clone, Debug)]
 pub struct Platform {
     /// Members of the key-value service, `ip:port` each.
@@ -67,7 +67,7 @@
     pub timeout: Duration,
 }
 
-/// Limits on requests and their answers.
+/// Limits on requests and their responses.
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Largest head of a request, bytes.
@@ -78,7 +78,8 @@
     pub head_timeout: Duration,
     /// Time limit for a request's body to arrive.
     pub body_timeout: Duration,
-    /// Time without progress after which an answer is given up as stalled.
+    /// Time without progress after which a response is ended: no byte comes from
+    /// the endpoint, or the caller accepts none.
     pub inactivity: Duration,
 }
 
--- a/node/src/settings/check.rs
+++ b/node/src/settings/check.rs
@@ -30,6 +30,9 @@
 }
 
 /// Collects faults while the values are converted.
+///
+/// A method that converts an invalid value records a fault and still returns a
+/// value; that value is never used, as parsing then fails as a whole.
 pub(super) struct Check {
     /// File to which the faults belong.
     pub(super) file: String,
@@ -154,6 +157,7 @@
 /// A value and its origin.
 pub(super) struct Source {
     value: String,
+    /// Line in the file; none for a value from the environment.
     line: Option<u64>,
     from_environment: bool,
 }
--- a/node/src/state.rs
+++ b/node/src/state.rs
@@ -11,7 +11,7 @@
     shutdown::Phase,
 };
 
-/// Returns whether the platform is available.
+/// Returns whether the key-value service is available, as far as this node knows.
 pub type Availability = Arc<dyn Fn() -> bool + Send + Sync>;
 
 /// Handles to the parts of the node whose state the pages show.
@@ -22,11 +22,11 @@
     pub rules: rules::Receiver,
     /// Addresses of the endpoints.
     pub book: Book,
-    /// Provides the scheduler's view of services and endpoints.
+    /// Provides the decision core's view of services and endpoints.
     pub dispatcher: dispatcher::Sender,
     /// Provides the live nodes.
     pub membership: membership::Handle,
-    /// Whether the platform is available.
+    /// Whether the key-value service is available.
     pub is_platform_available: Availability,
     /// Phase of the shutdown.
     pub phase: Phase,
--- a/node/src/stream.rs
+++ b/node/src/stream.rs
@@ -168,6 +168,7 @@
             return;
         };
         self.last_byte = Instant::now();
+        // Each data event counts as one output token.
         let tokens = self.scanner.as_mut().map(|scanner| scanner.feed(data));
         let mut source = self.source.lock();
         let Some(open) = source.as_mut() else {
@@ -185,6 +186,7 @@
             return self.truncate(Reason::Broken);
         }
         let usage = scanner.and_then(sse::Scanner::usage);
+        // Without reported usage, each data event counts as one output token.
         let usage = usage.unwrap_or(sse::Usage {
             cached: 0,
             output: scanner.map_or(0, sse::Scanner::events),
--- a/node/src/tracker.rs
+++ b/node/src/tracker.rs
@@ -35,7 +35,7 @@
     status_class: StatusClass,
     started: bool,
     ended: bool,
-    unreported: u64,
+    unreported_tokens: u64,
     last_report: Instant,
 }
 
@@ -68,7 +68,7 @@
             status_class: StatusClass::Served,
             started: false,
             ended: false,
-            unreported: 0,
+            unreported_tokens: 0,
             last_report: Instant::now(),
         }
     }
@@ -98,12 +98,12 @@
 
     /// Adds output tokens and reports them, at most once per [`REPORT_PERIOD`].
     pub fn progress(&mut self, tokens: u64) {
-        self.unreported += tokens;
-        if self.unreported == 0 || self.last_report.elapsed() < REPORT_PERIOD {
+        self.unreported_tokens += tokens;
+        if self.unreported_tokens == 0 || self.last_report.elapsed() < REPORT_PERIOD {
             return;
         }
         self.last_report = Instant::now();
-        let tokens = Tokens(std::mem::take(&mut self.unreported));
+        let tokens = Tokens(std::mem::take(&mut self.unreported_tokens));
         self.dispatcher
             .send(Event::Progressed(self.request, tokens));
     }
