--- a/lib/src/dispatcher.rs
+++ b/lib/src/dispatcher.rs
@@ -70,7 +70,8 @@
 /// Cost of an answer that would not be complete by its deadline, in seconds.
 const INCOMPLETE_COST_SECS: f64 = 2.0;
 
-/// Cost of a certain failure, in seconds; scaled by the recent failure rate.
+/// Cost of an endpoint at which every recent request failed, in seconds; scaled
+/// by the recent failure rate.
 const FAILURE_COST_SECS: f64 = 1.5;
 
 /// Minimum and maximum `retry_after` of a refusal, before random spread.
@@ -766,8 +767,10 @@
     Full,
 }
 
-/// Returns the expected seconds until an endpoint has a free slot, or `None` if
-/// the endpoint takes no more requests now.
+/// Returns the expected seconds until an endpoint has a free slot. Returns `None`
+/// if the endpoint takes no requests now, if it is full and already has one in
+/// advance, or if it is full and the wait is unknown or longer than
+/// [`MAX_COMPLETION_GAP_SECS`].
 fn wait_for_slot(
     now: time::Instant,
     queue: &Queue,
--- a/lib/tests/test_dispatcher.rs
+++ b/lib/tests/test_dispatcher.rs
@@ -96,7 +96,8 @@
     assert!(fraction > 0.8, "short work on time: {fraction}");
 }
 
-/// On a slow engine the longest prompts would miss their deadline.
+/// Engines of very different speeds get the longest prompts, whose first event
+/// would be late on a slow engine.
 #[test]
 fn the_longest_prompts_go_to_fast_engines() {
     let mut simulation = Simulation::new(1, &MIXED_SPEEDS, 10);
