--- a/lib/src/quota.rs
+++ b/lib/src/quota.rs
@@ -155,7 +155,8 @@
     }
 
     /// Deducts what another node admitted. A bucket that this node has not used
-    /// yet stays unchanged; it starts low instead.
+    /// yet stays unchanged: its initial level allows for such use (see
+    /// [`Limiter::initial_fraction`]).
     fn deduct(&mut self, now: time::Instant, units: f64) {
         if self.level.is_some() {
             self.level = Some(self.refill(now, 0.0, 0.0) - units);
