--- a/lib/src/plan.rs
+++ b/lib/src/plan.rs
@@ -71,7 +71,8 @@
 pub struct Quota {
     /// Units per second.
     pub rate: f64,
-    /// Size of the bucket: units that may be used at once.
+    /// Units that may be used beyond the rate at any moment: the size of the
+    /// bucket, unless the nodes tolerate some excess over a window.
     pub burst: f64,
     /// Unit that is counted.
     pub unit: Unit,
