--- a/lib/src/membership/merge.rs
+++ b/lib/src/membership/merge.rs
@@ -14,8 +14,8 @@
     time::Instant,
 };
 
-/// A fingerprint of a peer is accepted only if it extends the known validity by
-/// at least this.
+/// A fingerprint of a peer is accepted only if it extends the known validity,
+/// zero for an unknown fingerprint, by at least this.
 const MIN_VALIDITY_GAIN: Duration = Duration::from_secs(5);
 
 impl Membership {
--- a/lib/tests/cluster/scenario.rs
+++ b/lib/tests/cluster/scenario.rs
@@ -18,7 +18,7 @@
 pub const LEAVE_LIMIT: Duration = Duration::from_secs(3);
 /// Time limit for a generation and a fingerprint to reach every node.
 pub const DISSEMINATION_LIMIT: Duration = Duration::from_secs(3);
-/// Time for late heartbeats of the faults to arrive and for the suspicions raised
+/// Time for late heartbeats to arrive and for the suspicions raised
 /// during the faults to end: three seconds each.
 const SETTLE_TIME: Duration = Duration::from_secs(6);
 /// Time that agreement has to last.
