--- a/lib/src/flight.rs
+++ b/lib/src/flight.rs
@@ -57,6 +57,7 @@
     pub uncached: u64,
     /// Tokens received since `measured_since`.
     pub received_tokens: u64,
-    /// When the speed of the answer's stream was last measured.
+    /// Start of the span over which the speed of the answer's stream is measured:
+    /// its first byte, or the end of the previous span.
     pub measured_since: time::Instant,
 }
