--- a/lib/tests/test_quarantine.rs
+++ b/lib/tests/test_quarantine.rs
@@ -176,8 +176,8 @@
 }
 
 /// One node holds a suspect back until the second node's mark of another death
-/// confirms it. The second node had admitted the request before it learnt of
-/// the first death.
+/// confirms it. The caller had sent the request again to the second node, which
+/// admitted it before the marks of the first death arrived.
 #[test]
 fn waiting_suspect_is_refused_once_confirmed() {
     let mut one = core(Policy::TwoChoices, 10_000, 4);
