--- a/gateway/src/chain.rs
+++ b/gateway/src/chain.rs
@@ -40,7 +40,8 @@
     relay::Relay,
 };
 
-/// Retry delay of refusals for which no better one is known.
+/// Retry delay of refusals for which no better one is known, such as those of a
+/// node that has no plan yet.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Failed connection attempts after which a request is given up.
 const MAX_CONNECT_FAILURES: u32 = 6;
