--- a/gateway/src/controller/follow.rs
+++ b/gateway/src/controller/follow.rs
@@ -14,7 +14,7 @@
 /// a source that drops its change history keeps calls waiting for about a second.
 const CHANGE_DELAY: Duration = Duration::from_millis(1200);
 
-/// The poll interval is this fraction of the bound minus [`CHANGE_DELAY`].
+/// The poll interval is this fraction of what [`CHANGE_DELAY`] leaves of the bound.
 const BOUND_FRACTION: f64 = 0.85;
 
 /// Shortest poll interval.
