--- a/node/src/write_timeout.rs
+++ b/node/src/write_timeout.rs
@@ -1,4 +1,5 @@
-//! Limits how long a write to a connection may block.
+//! Limits how long a write to a connection may block, so that a connection
+//! whose other side does not read is closed.
 
 use std::{
     future::Future,
