--- a/node/src/pool.rs
+++ b/node/src/pool.rs
@@ -114,7 +114,8 @@
     }
 }
 
-/// Lets the kernel close a connection whose other side is unreachable.
+/// Lets the kernel close a connection whose other side no longer answers, for
+/// example because the network has dropped the connection's state.
 ///
 /// # Errors
 ///
