--- a/node/src/node.rs
+++ b/node/src/node.rs
@@ -190,8 +190,8 @@
     Ok(())
 }
 
-/// Stops the node step by step, so that running requests can finish within the
-/// grace period.
+/// Stops the node in an order that lets requests finish: it serves new ones
+/// during the notice time, and running ones until the grace period ends.
 async fn stop(settings: &Settings, phase: &Phase, controllers: &Controllers, mut servers: Servers) {
     phase.announce();
     tracing::info!("shutting down: not ready any more");
