--- a/node/src/idempotency.rs
+++ b/node/src/idempotency.rs
@@ -87,8 +87,8 @@
 ///
 /// # Errors
 ///
-/// Fails if the claim is not acquired, the core refuses the request or the
-/// response is incomplete.
+/// Fails if the claim is not acquired or expires before dispatch, the core
+/// refuses the request, or there is no complete response within the size limit.
 pub async fn run<D: Handle, U: Client, K: Keeper>(
     chain: Arc<Chain<D, U, K>>,
     request: Request<Received>,
