--- a/node/src/peer.rs
+++ b/node/src/peer.rs
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the node does not answer.
+    /// Fails if the node is unknown or not live, or does not answer.
     fn attempt_status(
         &self,
         node: &id::Node,
--- a/node/tests/test_peer.rs
+++ b/node/tests/test_peer.rs
@@ -244,7 +244,8 @@
 }
 
 /// Returns bytes that are not a valid message: random bytes, headers that
-/// announce huge sizes, and valid headers followed by random bytes.
+/// announce huge sizes, and valid headers followed by random bytes, often fewer
+/// than announced.
 fn garbage(random: &mut SmallRng) -> Vec<u8> {
     let mut bytes = match random.random_range(0..4) {
         // Header with the largest number of segments.
