--- a/store/src/etcd.rs
+++ b/store/src/etcd.rs
@@ -1,9 +1,9 @@
 //! Client of the etcd v3 JSON gateway.
 //!
 //! Every call has a time limit. A request that could not be sent is tried at
-//! the next address. One that was sent but not answered is retried only if
-//! that is harmless: whether a lost write took effect is for the caller to find
-//! out.
+//! the next address. One that was sent but not answered is retried only if it
+//! writes nothing or renews a lease, because only the caller can find out
+//! whether a lost write took effect.
 
 mod error;
 mod watch;
