--- a/cli/src/document.rs
+++ b/cli/src/document.rs
@@ -38,7 +38,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the text is not a tree or the field is not a generation.
+    /// Fails if the text can't be parsed or the field is not a generation.
     pub fn base(&self) -> eyre::Result<id::Generation> {
         let node = tree::Node::parse(&self.content)?;
         let leaves = node.leaves();
