--- a/node/src/sse.rs
+++ b/node/src/sse.rs
@@ -2,7 +2,8 @@
 
 use serde::Deserialize;
 
-/// Maximum length of a line that is scanned, bytes; longer lines are skipped.
+/// Maximum length of a line that is assembled from several frames, bytes; longer
+/// ones are skipped. A line within one frame is scanned whatever its length.
 const MAX_LINE_BYTES: usize = 64 * 1024;
 
 const DATA: &[u8] = b"data:";
