--- a/cli/src/command.rs
+++ b/cli/src/command.rs
@@ -21,8 +21,8 @@
 pub enum Code {
     /// The command succeeded.
     Done = 0,
-    /// The command failed for a reason without a code of its own, or was not
-    /// done everywhere.
+    /// The command failed for a reason without a code of its own, or for some of
+    /// the nodes.
     Failed = 1,
     /// The input is invalid.
     BadInput = 2,
--- a/cli/src/command/digest.rs
+++ b/cli/src/command/digest.rs
@@ -1,5 +1,5 @@
-//! `digest`: prints the digest of a caller's key, which the text lists instead of
-//! the key.
+//! `digest`: prints the digest of a caller's key, which a configuration lists
+//! instead of the key.
 
 use std::io;
 
--- a/cli/src/command/explain.rs
+++ b/cli/src/command/explain.rs
@@ -1,5 +1,4 @@
-//! `explain`: tells how a request would be treated by the configuration in
-//! force.
+//! `explain`: shows how the configuration in force would treat a request.
 
 use argh::FromArgs;
 use dottereltally_lib::{
--- a/cli/src/document.rs
+++ b/cli/src/document.rs
@@ -33,8 +33,8 @@
         })
     }
 
-    /// Returns the generation that the text was edited from, or zero if it has
-    /// no such field.
+    /// Returns the generation that the text was edited from, or zero if the text
+    /// does not name one.
     ///
     /// # Errors
     ///
