--- a/store/src/etcd.rs
+++ b/store/src/etcd.rs
@@ -45,8 +45,11 @@
 pub struct Store(Arc<Inner>);
 
 struct Inner {
+    /// Clients of the addresses, in the order in which these were given.
     clients: Vec<Client>,
+    /// Index of the client that is tried first.
     preferred: AtomicUsize,
+    /// Time limit of one call, over all addresses.
     timeout: Duration,
 }
 
@@ -75,7 +78,7 @@
     /// Sends a request to one address after another within the time limit.
     ///
     /// Each attempt gets an equal share of the time that is left. A write that
-    /// was sent may use all of it, as there is no further attempt.
+    /// was sent may use all the time that is left, as it is not sent again.
     async fn send(&self, path: &str, body: &[u8], effect: Effect) -> Result<Answer, Error> {
         let deadline = Instant::now() + self.0.timeout;
         let mut last_error = unreachable("unknown address", "no address is configured");
@@ -128,6 +131,7 @@
                 .compare_exchange(failed, next, Ordering::Relaxed, Ordering::Relaxed);
     }
 
+    /// Sends a message and decodes the response.
     async fn call<T: DeserializeOwned>(
         &self,
         path: &str,
--- a/store/src/etcd/watch.rs
+++ b/store/src/etcd/watch.rs
@@ -9,12 +9,13 @@
     kv::{self, Change, Error},
 };
 
-/// Maximum size of one message of a watch.
+/// Maximum size of one message of a watch, in bytes.
 const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
 /// Watch of one key.
 pub struct Watch {
     stream: Stream,
+    /// Bytes that were received but not yet returned as a line.
     pending: Vec<u8>,
 }
 
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Waits for the next line of the stream.
+    /// Waits for the next line of the stream, and returns it without its end.
     async fn line(&mut self) -> Result<Vec<u8>, Error> {
         loop {
             if let Some(end) = self.pending.iter().position(|byte| *byte == b'\n') {
--- a/store/src/etcd/wire.rs
+++ b/store/src/etcd/wire.rs
@@ -1,7 +1,7 @@
 //! Messages of the etcd v3 JSON gateway.
 //!
-//! Keys and values are base64, 64-bit numbers are strings. Answers may also
-//! have them as JSON numbers, and leave out fields that are zero.
+//! Keys and values are base64, 64-bit numbers are strings. Responses may also
+//! have 64-bit numbers as JSON numbers, and leave out fields that are zero.
 
 mod scalar;
 
@@ -11,7 +11,7 @@
 
 pub(super) use scalar::{Base64, Number};
 
-/// Error of an answer that is valid JSON but can't be interpreted.
+/// Error of a response that is valid JSON but can't be interpreted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum Error {
     #[error("a key is not UTF-8")]
@@ -193,7 +193,9 @@
 /// Marks which operations of a transaction are reads, by their position.
 #[derive(Debug)]
 pub(super) struct ReadMask {
+    /// For each operation of the `success` list, whether it is a read.
     success: Vec<bool>,
+    /// For each operation of the `failure` list, whether it is a read.
     failure: Vec<bool>,
 }
 
@@ -220,7 +222,12 @@
 }
 
 impl TxnResponse {
-    /// Converts the answer; `read_mask` is that of the transaction.
+    /// Converts the response to the transaction with this `read_mask`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the number of results is not that of the operations that ran, or
+    /// if a key is not UTF-8.
     pub(super) fn outcome(self, read_mask: &ReadMask) -> Result<Outcome, Error> {
         let expected = if self.succeeded {
             &read_mask.success
--- a/store/src/host.rs
+++ b/store/src/host.rs
@@ -17,7 +17,7 @@
     pub node: id::Node,
     /// Address for its peers, `ip:port`.
     pub address: String,
-    /// Address of its operations pages, `ip:port`.
+    /// Address of its operations pages, `ip:port`; empty if the list has none.
     pub operations: String,
     /// Its data centre.
     pub data_centre: id::DataCentre,
--- a/store/src/host_list.rs
+++ b/store/src/host_list.rs
@@ -13,7 +13,7 @@
     http::{self, Client},
 };
 
-/// Port of an address without one.
+/// Port of an address that has none.
 const DEFAULT_PORT: u16 = 80;
 
 /// Client of the host list; clones share their connections.
@@ -139,7 +139,11 @@
 }
 
 impl Group {
-    /// Adds the host to `snapshot`, unless it has another role.
+    /// Adds the host to `snapshot`; a host with [`Role::Other`] is ignored.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the group has no target, or an endpoint no service.
     fn add_to(self, snapshot: &mut Snapshot) -> Result<(), Error> {
         let labels = self.labels;
         if labels.role == Role::Other {
--- a/store/src/http.rs
+++ b/store/src/http.rs
@@ -26,7 +26,7 @@
 /// Time for which an idle connection is kept.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Maximum size of an answer's body.
+/// Maximum size of an answer's body, in bytes.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 /// Error of a call.
@@ -43,9 +43,9 @@
 /// Deadlines of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct Deadlines {
-    /// For the connection.
+    /// For opening a connection.
     pub connect: time::Instant,
-    /// For the whole answer.
+    /// For the complete answer, or for the head of a [`Stream`].
     pub answer: time::Instant,
 }
 
@@ -162,15 +162,16 @@
     }
 }
 
-/// An idle connection and the time since when it is idle.
+/// An idle connection.
 struct Idle {
     connection: Connection,
+    /// When the connection became idle.
     since: time::Instant,
 }
 
 /// Guard of a call that closes the idle connections of its client on drop,
-/// unless it is disarmed by an answer. This covers calls that are cancelled by
-/// dropping their future.
+/// unless it was disarmed because an answer arrived. A call that is cancelled by
+/// dropping its future also drops the guard.
 struct IdleGuard<'a>(Option<&'a Client>);
 
 impl<'a> IdleGuard<'a> {
--- a/store/src/kv.rs
+++ b/store/src/kv.rs
@@ -60,7 +60,8 @@
 }
 
 impl Transaction {
-    /// Returns the first lease that a written key is bound to.
+    /// Returns the first lease that a written key is bound to, or `None` if no
+    /// operation has a lease.
     #[must_use]
     pub fn lease(&self) -> Option<Lease> {
         for operation in self.success.iter().chain(&self.failure) {
@@ -79,7 +80,8 @@
     pub succeeded: bool,
     /// Revision of the store after the transaction.
     pub revision: Revision,
-    /// Results of the `Get` operations that ran, in order.
+    /// Results of the `Get` operations that ran, in order; `None` if the key does
+    /// not exist.
     pub reads: Vec<Option<Entry>>,
 }
 
@@ -108,7 +110,7 @@
     /// The request was sent but not answered; the call may have taken effect.
     #[error("no answer from the key-value service: {0}; read the key back before trying again")]
     Lost(String),
-    /// The service answered with an error; the call had no effect.
+    /// The service answered with an error that rules out an effect of the call.
     #[error("the key-value service refused the call: {0}")]
     Refused(String),
     /// The lease does not exist or has expired; the call had no effect.
--- a/store/src/layout.rs
+++ b/store/src/layout.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Configuration {
-    /// Number of this configuration.
+    /// Generation of this configuration.
     pub generation: id::Generation,
     /// The operators' text, unchanged.
     pub text: String,
--- a/store/src/memory.rs
+++ b/store/src/memory.rs
@@ -32,6 +32,7 @@
 #[derive(Clone)]
 pub struct Store {
     data: Arc<Mutex<Data>>,
+    /// Wakes the watches; the value counts the notifications.
     notifier: Arc<watch::Sender<u64>>,
     faults: Arc<Mutex<Faults>>,
 }
@@ -119,8 +120,8 @@
         result
     }
 
-    /// Runs one call with its fault, if any; `effect` is told whether to read
-    /// stale data.
+    /// Runs one call with its fault, if any; the second argument of `effect` is
+    /// whether to read stale data.
     async fn call<T: Send>(
         &self,
         call: Call,
@@ -227,6 +228,7 @@
     store: Store,
     notifications: watch::Receiver<u64>,
     key: String,
+    /// First revision whose changes were not yet returned.
     from: Revision,
 }
 
--- a/store/src/memory/data.rs
+++ b/store/src/memory/data.rs
@@ -22,11 +22,16 @@
 /// All data of the service.
 #[derive(Default)]
 pub(super) struct Data {
+    /// Revision of the last change; zero if there was none.
     revision: i64,
     keys: BTreeMap<String, Record>,
+    /// Entry of each key before its last change; `None` if it did not exist.
     previous: BTreeMap<String, Option<Entry>>,
+    /// Leases that were neither revoked nor expired, by ID.
     leases: BTreeMap<i64, Term>,
-    granted: i64,
+    /// ID of the lease that was granted last; zero if there was none.
+    last_lease: i64,
+    /// All changes with their revisions and keys, oldest first.
     history: Vec<(Revision, String, Change)>,
 }
 
@@ -149,10 +154,10 @@
     }
 
     pub(super) fn grant(&mut self, ttl: Duration, now: Instant) -> Lease {
-        self.granted += 1;
+        self.last_lease += 1;
         let expiry = now + ttl;
-        self.leases.insert(self.granted, Term { ttl, expiry });
-        Lease(self.granted)
+        self.leases.insert(self.last_lease, Term { ttl, expiry });
+        Lease(self.last_lease)
     }
 
     pub(super) fn renew(&mut self, lease: Lease, now: Instant) -> Result<Duration, Error> {
--- a/store/src/memory/fault.rs
+++ b/store/src/memory/fault.rs
@@ -38,7 +38,8 @@
     /// The call takes effect after half of this delay and is answered at its
     /// end.
     Slow(Duration),
-    /// A read is answered with the value before the last change.
+    /// A `Get` is answered with the value before the last change; has no effect
+    /// on other calls.
     Stale,
 }
 
@@ -60,10 +61,15 @@
 
 /// Faults and call counts of one client.
 pub(super) struct Faults {
+    /// Whether the service is unreachable.
     pub(super) down: bool,
+    /// Whether watches report no changes.
     pub(super) silent: bool,
+    /// Time limit after which a call without answer fails.
     pub(super) timeout: Duration,
+    /// Faults of the next calls of each kind, in order.
     pub(super) queue: VecDeque<(Call, Fault)>,
+    /// Chooses the fault of a call that has none in `queue`.
     pub(super) script: Option<Script>,
     pub(super) count: Count,
 }
--- a/store/src/proposal.rs
+++ b/store/src/proposal.rs
@@ -65,8 +65,9 @@
     /// The key-value service failed; nothing was written.
     #[error("nothing was changed: {0}")]
     Platform(kv::Error),
-    /// An answer was lost, and it could not be found out whether the proposal
-    /// was or will be accepted; with the token of the proposal.
+    /// An answer was lost, and it is unknown whether the proposal was or will be
+    /// accepted. The text is the proposal's token, by which the audit trail can
+    /// be searched.
     #[error(
         "no answer in time, the change may or may not come into force: {0}; find its token {1} with `history` before applying again"
     )]
@@ -77,7 +78,7 @@
         "nothing was changed: the audit trail already has generation {0} while the configuration does not; restore both from one backup of the key-value service"
     )]
     AuditAhead(id::Generation),
-    /// The value of this key can't be decoded.
+    /// The value of a key can't be decoded; with the key and the cause.
     #[error("{0} is unreadable: {1}; restore it from a backup of the key-value service")]
     Unreadable(String, String),
     /// The text in force or the new one can't be parsed.
@@ -87,7 +88,9 @@
 
 /// Stored configuration and the revision that last modified it.
 struct State {
+    /// The configuration; `None` if there is none yet.
     current: Option<Configuration>,
+    /// Its last revision; zero if there is no configuration.
     modified: kv::Revision,
 }
 
@@ -127,7 +130,7 @@
 
     /// Tries once; returns `None` if a condition of the transaction failed.
     ///
-    /// `may_be_written` tells whether an earlier attempt may have taken effect.
+    /// `may_be_written` is whether an earlier attempt may have taken effect.
     async fn attempt<S: Store>(
         &self,
         store: &S,
@@ -168,11 +171,14 @@
             return Ok(None);
         }
         let since = audits_since(store, self.base).await?;
-        let own = since.iter().find(|audit| audit.token == self.token);
-        if let Some(own) = own
+        let accepted = since.iter().find(|audit| audit.token == self.token);
+        if let Some(accepted) = accepted
             && may_be_written
         {
-            return Ok(Some(Accepted::Changed(own.generation, own.changes.clone())));
+            return Ok(Some(Accepted::Changed(
+                accepted.generation,
+                accepted.changes.clone(),
+            )));
         }
         let Some(current) = &state.current else {
             return Ok(None);
--- a/store/tests/test_etcd.rs
+++ b/store/tests/test_etcd.rs
@@ -20,13 +20,14 @@
     time,
 };
 
+/// Time limit of one call.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
 async fn start_kv() -> Result<Addresses> {
     server::start(Kv::start(), "127.0.0.1:0".parse()?).await
 }
 
-async fn set_switches(kv: &Addresses, change: serde_json::Value) -> Result<()> {
+async fn set_kv_controls(kv: &Addresses, change: serde_json::Value) -> Result<()> {
     set_controls(&kv.control.to_string(), &change).await
 }
 
@@ -153,7 +154,7 @@
         watch.next().await?,
         [Change::Deleted("k".to_owned(), deleted.revision)]
     );
-    set_switches(&kv, json!({"down": true})).await?;
+    set_kv_controls(&kv, json!({"down": true})).await?;
     assert!(watch.next().await.is_err());
     Ok(())
 }
@@ -180,7 +181,7 @@
 async fn a_write_whose_answer_is_lost_is_sent_once() -> Result<()> {
     let kv = start_kv().await?;
     let store = store(&kv);
-    set_switches(&kv, json!({"lose_answers": 1})).await?;
+    set_kv_controls(&kv, json!({"lose_answers": 1})).await?;
     let error = store.transact(create("k", "a", None)).await.unwrap_err();
     assert!(matches!(error, Error::Lost(_)), "{error}");
     let again = store.transact(create("k", "b", None)).await?;
@@ -193,10 +194,10 @@
 async fn a_write_that_hangs_is_lost_at_its_time_limit() -> Result<()> {
     let kv = start_kv().await?;
     let store = Store::new(vec![kv.address.to_string()], Duration::from_millis(200));
-    set_switches(&kv, json!({"hold_after": true})).await?;
+    set_kv_controls(&kv, json!({"hold_after": true})).await?;
     let error = store.transact(create("k", "a", None)).await.unwrap_err();
     assert!(matches!(error, Error::Lost(_)), "{error}");
-    set_switches(&kv, json!({"hold_after": false})).await?;
+    set_kv_controls(&kv, json!({"hold_after": false})).await?;
     assert!(store.get("k").await?.is_some());
     Ok(())
 }
@@ -206,10 +207,10 @@
     let kv = start_kv().await?;
     let store = store(&kv);
     store.transact(create("k", "a", None)).await?;
-    set_switches(&kv, json!({"silent": "existing"})).await?;
+    set_kv_controls(&kv, json!({"silent": "existing"})).await?;
     // The read is retried on a new connection.
     assert!(store.get("k").await?.is_some());
-    set_switches(&kv, json!({"silent": "existing"})).await?;
+    set_kv_controls(&kv, json!({"silent": "existing"})).await?;
     // The write is not retried, but the next call gets a new connection.
     let write = store.transact(create("l", "a", None)).await;
     assert!(matches!(write, Err(Error::Lost(_))), "{write:?}");
@@ -225,7 +226,7 @@
     for read in futures_util::future::join_all(reads).await {
         read?;
     }
-    set_switches(&kv, json!({"silent": "existing"})).await?;
+    set_kv_controls(&kv, json!({"silent": "existing"})).await?;
     let dropped = time::timeout(Duration::from_millis(100), store.get("k")).await;
     assert!(dropped.is_err());
     let outcome = store.transact(create("k", "a", None)).await?;
@@ -238,10 +239,10 @@
     let kv = start_kv().await?;
     let store = store(&kv);
     store.transact(create("k", "a", None)).await?;
-    set_switches(&kv, json!({"down": true})).await?;
+    set_kv_controls(&kv, json!({"down": true})).await?;
     let refused = store.transact(create("l", "a", None)).await;
     assert!(refused.is_err());
-    set_switches(&kv, json!({"down": false})).await?;
+    set_kv_controls(&kv, json!({"down": false})).await?;
     assert!(store.transact(create("l", "a", None)).await?.succeeded);
     Ok(())
 }
@@ -269,16 +270,20 @@
 #[case::no_code("500 Internal Server Error", "{}", true)]
 #[case::unreadable("200 OK", "<html>", true)]
 #[case::results_missing("200 OK", r#"{"succeeded": true}"#, true)]
-#[case::cut("200 OK", "", true)]
+#[case::empty_body("200 OK", "", true)]
 #[tokio::test]
 async fn an_error_says_whether_the_write_may_have_taken_effect(
     #[case] status: &str,
     #[case] body: &str,
-    #[case] may_have: bool,
+    #[case] may_have_taken_effect: bool,
 ) -> Result<()> {
     let store = Store::new(vec![serve_canned(http(status, body)).await?], TIMEOUT);
     let error = store.transact(create("k", "a", None)).await.unwrap_err();
-    assert_eq!(error.may_have_taken_effect(), may_have, "{error}");
+    assert_eq!(
+        error.may_have_taken_effect(),
+        may_have_taken_effect,
+        "{error}"
+    );
     Ok(())
 }
 
--- a/store/tests/test_host_list.rs
+++ b/store/tests/test_host_list.rs
@@ -14,8 +14,10 @@
     net::TcpListener,
 };
 
+/// Time limit of one read.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
+/// A list with an entry host, an endpoint and a host of an unknown role.
 const LIST: &str = r#"[
   {"targets": ["127.0.0.1:7001"], "labels": {"role": "entry", "name": "entry-1", "data_centre": "plovdiv", "state": "live", "operations": "127.0.0.1:7002"}},
   {"targets": ["127.0.0.1:8001"], "labels": {"role": "endpoint", "name": "tally-1", "data_centre": "plovdiv", "state": "leaving", "service": "tally-llm", "rack": "4"}},
--- a/store/tests/test_memory.rs
+++ b/store/tests/test_memory.rs
@@ -13,6 +13,7 @@
 use rstest::rstest;
 use tokio::time;
 
+/// Time to live of a lease.
 const TTL: Duration = Duration::from_secs(10);
 
 fn put(value: &str) -> Operation {
--- a/store/tests/test_proposal.rs
+++ b/store/tests/test_proposal.rs
@@ -13,7 +13,8 @@
 use rstest::rstest;
 use tokio::{task::JoinSet, time};
 
-const LIMIT: Duration = Duration::from_secs(5);
+/// Time for which a proposal is retried.
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn proposal(base: u64, token: &str) -> Proposal {
     Proposal {
@@ -47,7 +48,7 @@
     let store = Store::default();
     for base in 0..3 {
         let proposal = proposal(base, &format!("t{base}"));
-        let accepted = proposal.submit(&store, LIMIT).await.unwrap();
+        let accepted = proposal.submit(&store, SUBMIT_TIMEOUT).await.unwrap();
         assert!(is_generation(&accepted, base + 1));
     }
     assert_eq!(tokens(&store).await, ["t0", "t1", "t2"]);
@@ -56,10 +57,13 @@
 #[tokio::test(start_paused = true)]
 async fn an_equal_text_writes_nothing() {
     let store = Store::default();
-    proposal(0, "a").submit(&store, LIMIT).await.unwrap();
+    proposal(0, "a")
+        .submit(&store, SUBMIT_TIMEOUT)
+        .await
+        .unwrap();
     let mut again = proposal(1, "b");
     again.text = "marker: a".to_owned();
-    let accepted = again.submit(&store, LIMIT).await.unwrap();
+    let accepted = again.submit(&store, SUBMIT_TIMEOUT).await.unwrap();
     assert_eq!(accepted, Accepted::Unchanged(Generation(1)));
     assert_eq!(tokens(&store).await, ["a"]);
 }
@@ -69,7 +73,7 @@
     let store = Store::default();
     let mut first = proposal(0, "a");
     first.floor = Generation(7);
-    let accepted = first.submit(&store, LIMIT).await.unwrap();
+    let accepted = first.submit(&store, SUBMIT_TIMEOUT).await.unwrap();
     assert!(is_generation(&accepted, 8));
 }
 
@@ -81,7 +85,10 @@
     #[case] operators: usize,
 ) {
     let store = Store::default();
-    proposal(0, "first").submit(&store, LIMIT).await.unwrap();
+    proposal(0, "first")
+        .submit(&store, SUBMIT_TIMEOUT)
+        .await
+        .unwrap();
     let mut tasks = JoinSet::new();
     for operator in 0..operators {
         let client = store.connect();
@@ -89,7 +96,7 @@
         // takes effect.
         client.inject(Call::Transact, Fault::Slow(Duration::from_millis(100)));
         let proposal = proposal(1, &format!("t{operator}"));
-        tasks.spawn(async move { proposal.submit(&client, LIMIT).await });
+        tasks.spawn(async move { proposal.submit(&client, SUBMIT_TIMEOUT).await });
     }
     let mut winners = 0;
     for result in tasks.join_all().await {
@@ -110,7 +117,10 @@
 async fn a_lost_answer_is_resolved_by_reading_back() {
     let store = Store::default();
     store.inject(Call::Transact, Fault::AnswerLost);
-    let accepted = proposal(0, "a").submit(&store, LIMIT).await.unwrap();
+    let accepted = proposal(0, "a")
+        .submit(&store, SUBMIT_TIMEOUT)
+        .await
+        .unwrap();
     assert!(is_generation(&accepted, 1));
     assert_eq!(tokens(&store).await, ["a"]);
 }
@@ -119,7 +129,10 @@
 async fn a_write_that_takes_effect_late_is_not_repeated() {
     let store = Store::default();
     store.inject(Call::Transact, Fault::Delayed(Duration::from_millis(1500)));
-    let accepted = proposal(0, "a").submit(&store, LIMIT).await.unwrap();
+    let accepted = proposal(0, "a")
+        .submit(&store, SUBMIT_TIMEOUT)
+        .await
+        .unwrap();
     assert!(is_generation(&accepted, 1));
     time::sleep(Duration::from_secs(5)).await;
     assert_eq!(tokens(&store).await, ["a"]);
@@ -128,11 +141,14 @@
 #[tokio::test(start_paused = true)]
 async fn a_lost_answer_is_resolved_after_another_change() {
     let store = Store::default();
-    let slow = store.connect();
-    slow.inject(Call::Transact, Fault::AnswerLost);
-    let task = tokio::spawn(async move { proposal(0, "a").submit(&slow, LIMIT).await });
+    let client = store.connect();
+    client.inject(Call::Transact, Fault::AnswerLost);
+    let task = tokio::spawn(async move { proposal(0, "a").submit(&client, SUBMIT_TIMEOUT).await });
     wait_until_written(&store).await;
-    proposal(1, "b").submit(&store, LIMIT).await.unwrap();
+    proposal(1, "b")
+        .submit(&store, SUBMIT_TIMEOUT)
+        .await
+        .unwrap();
     let accepted = task.await.unwrap().unwrap();
     assert!(is_generation(&accepted, 1), "{accepted:?}");
     assert_eq!(tokens(&store).await, ["a", "b"]);
@@ -142,7 +158,10 @@
 async fn an_outage_before_the_write_is_reported_as_no_change() {
     let store = Store::default();
     store.set_down(true);
-    let error = proposal(0, "a").submit(&store, LIMIT).await.unwrap_err();
+    let error = proposal(0, "a")
+        .submit(&store, SUBMIT_TIMEOUT)
+        .await
+        .unwrap_err();
     assert!(
         matches!(error, Error::Platform(kv::Error::Unreachable { .. })),
         "{error:?}"
@@ -154,12 +173,12 @@
 #[tokio::test(start_paused = true)]
 async fn an_outage_after_the_write_is_reported_as_indeterminate() {
     let store = Store::default();
-    let slow = store.connect();
-    slow.inject(Call::Transact, Fault::AnswerLost);
-    let switch = slow.clone();
-    let task = tokio::spawn(async move { proposal(0, "a").submit(&slow, LIMIT).await });
+    let client = store.connect();
+    client.inject(Call::Transact, Fault::AnswerLost);
+    let same_client = client.clone();
+    let task = tokio::spawn(async move { proposal(0, "a").submit(&client, SUBMIT_TIMEOUT).await });
     wait_until_written(&store).await;
-    switch.set_down(true);
+    same_client.set_down(true);
     let error = task.await.unwrap().unwrap_err();
     assert!(matches!(error, Error::Indeterminate(..)), "{error:?}");
 }
