--- a/testutils/src/client.rs
+++ b/testutils/src/client.rs
@@ -230,7 +230,8 @@
         self.json()["run"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// Returns whether the body is a stream that ends with `[DONE]`.
+    /// Returns whether the body is a stream that ends with `[DONE]`, that is a
+    /// complete one.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.text.trim_end().ends_with("data: [DONE]")
--- a/testutils/src/deployment.rs
+++ b/testutils/src/deployment.rs
@@ -45,8 +45,11 @@
 /// Stand-ins and nodes, which are all killed on drop.
 #[derive(Debug)]
 pub struct Deployment {
+    /// Directory of the logs and of the nodes' settings.
     directory: TempDir,
+    /// The stand-in for the key-value service.
     kv: Process,
+    /// The stand-in for the host list.
     hosts: Process,
     endpoints: BTreeMap<String, Endpoint>,
     nodes: BTreeMap<String, Node>,
--- a/testutils/src/engine.rs
+++ b/testutils/src/engine.rs
@@ -69,7 +69,7 @@
     pub lag_ms: u64,
     /// Factor by which the duration of every step is multiplied.
     pub straggle: f64,
-    /// While set, nothing is computed; cancelled requests are still dropped.
+    /// While set, nothing is computed, but cancelled requests are still dropped.
     pub hold: bool,
     /// Text that ends the process if a prompt contains it; empty for none.
     pub crash_marker: String,
@@ -82,7 +82,8 @@
     pub cut_next: u64,
     /// Whether responses have a different `x-request-id` than their request.
     pub wrong_echo: bool,
-    /// Number of upcoming cache events that are skipped; their numbers are used up.
+    /// Number of upcoming cache events that are not sent; their numbers are not
+    /// used again, so that readers see a gap.
     pub event_gap_next: u64,
     /// Whether the load page and the load header report that the engine is
     /// leaving.
@@ -146,7 +147,7 @@
         engine
     }
 
-    /// Runs one step of the batch and returns the time until the next one.
+    /// Runs one step of the batch and returns the time until the next step.
     fn step(&self) -> Duration {
         let controls = self.controls.get();
         let mut batch = lock(&self.batch);
@@ -272,7 +273,8 @@
     }
 }
 
-/// Returns the point at which the next request's connection is closed.
+/// Returns the point at which the next request's connection is closed, and
+/// counts `die_next` down.
 fn take_abort_point(controls: &mut Controls) -> AbortPoint {
     if controls.die_next == 0 {
         return AbortPoint::None;
@@ -281,7 +283,7 @@
     controls.die
 }
 
-/// Returns whether the next stream ends early.
+/// Returns whether the next stream ends early, and counts `cut_next` down.
 fn take_cut(controls: &mut Controls) -> bool {
     let any = controls.cut_next > 0;
     controls.cut_next = controls.cut_next.saturating_sub(1);
--- a/testutils/src/engine/batch.rs
+++ b/testutils/src/engine/batch.rs
@@ -32,6 +32,7 @@
 #[derive(Debug)]
 pub struct Sequence {
     prompt: String,
+    /// Digest of the prompt, which every generated token contains.
     digest: String,
     prefixes: Vec<Prefix>,
     usage: Usage,
@@ -93,9 +94,12 @@
     pub cache: Cache,
     running: Vec<Sequence>,
     waiting: VecDeque<Sequence>,
+    /// Requests that joined the queue.
     received: u64,
+    /// Requests that joined the batch.
     started: u64,
     finished: u64,
+    /// Requests that were dropped because their client disconnected.
     cancelled: u64,
     prompt_tokens_computed: u64,
     prompt_tokens_cached: u64,
--- a/testutils/src/engine/cache.rs
+++ b/testutils/src/engine/cache.rs
@@ -22,6 +22,7 @@
     clock: u64,
     /// The most recent events with their numbers.
     events: VecDeque<(u64, Value)>,
+    /// Number of the last event, kept or skipped; the first event has number 1.
     last_event: u64,
     /// Number of upcoming events to skip.
     events_to_skip: u64,
--- a/testutils/src/host_list.rs
+++ b/testutils/src/host_list.rs
@@ -27,9 +27,11 @@
 /// The published list, and a change that waits for the lag to pass.
 #[derive(Debug, Default)]
 struct Published {
+    /// The list that is served.
     groups: Vec<Value>,
     /// When the change takes effect, and the list from then on.
     pending: Option<(Instant, Vec<Value>)>,
+    /// Number of requests for the list.
     reads: u64,
 }
 
--- a/testutils/src/kv.rs
+++ b/testutils/src/kv.rs
@@ -49,7 +49,7 @@
 pub struct Kv {
     controls: Observable<Controls>,
     store: Mutex<Store>,
-    /// The store's revision, to wake watches.
+    /// The store's revision; its changes wake the watches.
     revision: watch::Sender<i64>,
     /// Number of calls by path.
     calls: Mutex<BTreeMap<String, u64>>,
@@ -177,7 +177,7 @@
     }
 }
 
-/// Decrements a counter that is above zero; returns whether it was.
+/// Decrements a counter that is above zero; returns whether it was above zero.
 const fn count_down(remaining: &mut u64) -> bool {
     let any = *remaining > 0;
     *remaining = remaining.saturating_sub(1);
--- a/testutils/src/kv/store.rs
+++ b/testutils/src/kv/store.rs
@@ -61,8 +61,11 @@
 pub struct Store {
     revision: i64,
     items: BTreeMap<Vec<u8>, Item>,
+    /// All changes, oldest first.
     history: Vec<Change>,
     leases: BTreeMap<i64, ActiveLease>,
+    /// Last ID of the sequence from which leases get their IDs, unless a client
+    /// chooses the ID.
     last_lease: i64,
 }
 
--- a/testutils/src/ledger.rs
+++ b/testutils/src/ledger.rs
@@ -44,6 +44,7 @@
 /// Counters of the requests.
 #[derive(Debug, Default, Serialize)]
 struct Counts {
+    /// Requests that arrived, executed or not.
     received: u64,
     /// Requests that were executed.
     total: u64,
--- a/testutils/src/server.rs
+++ b/testutils/src/server.rs
@@ -167,7 +167,7 @@
     faults: watch::Sender<Faults>,
     /// Number of accepted connections; connections are numbered from 0.
     accepted: AtomicU64,
-    /// Connections with a lower number are stalled.
+    /// Connections with a number below this one are stalled.
     silent_below: Arc<AtomicU64>,
 }
 
--- a/testutils/src/wait.rs
+++ b/testutils/src/wait.rs
@@ -5,7 +5,7 @@
 use eyre::{Result, bail};
 use tokio::time::{Instant, sleep};
 
-/// Time between two evaluations of a condition.
+/// Pause between two evaluations of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time after which waiting fails.
 pub const TIMEOUT: Duration = Duration::from_mins(1);
@@ -15,7 +15,7 @@
 ///
 /// # Errors
 ///
-/// Fails if it does not within [`TIMEOUT`].
+/// Fails if the condition yields no value within [`TIMEOUT`].
 pub async fn eventually<T>(what: &str, mut condition: impl AsyncFnMut() -> Option<T>) -> Result<T> {
     let deadline = Instant::now() + TIMEOUT;
     loop {
--- a/testutils/tests/test_engine.rs
+++ b/testutils/tests/test_engine.rs
@@ -92,7 +92,7 @@
 #[case("during", 1)]
 #[case("after", 1)]
 #[tokio::test]
-async fn closes_connections_at_the_set_point(
+async fn the_connection_is_closed_at_the_configured_point(
     #[case] point: &str,
     #[case] started: u64,
 ) -> Result<()> {
@@ -107,7 +107,7 @@
 }
 
 #[tokio::test]
-async fn ends_a_stream_early_without_an_error() -> Result<()> {
+async fn a_cut_stream_ends_without_done_and_without_an_error() -> Result<()> {
     let engine = start().await?;
     set_controls(&engine, &json!({"cut_next": 1})).await?;
     let response = chat(&engine, "hello", true).fetch().await?;
