--- a/node/examples/claim_runs/simulation/attempt.rs
+++ b/node/examples/claim_runs/simulation/attempt.rs
@@ -40,8 +40,8 @@
     let disconnects = random.random_bool(0.05);
     let acquire = process.keeper.acquire(scope, fingerprint, deadline);
     let result = if disconnects {
-        let patience = random_millis(random, 0, 600);
-        let Ok(result) = time::timeout(patience, acquire).await else {
+        let disconnect_after = random_millis(random, 0, 600);
+        let Ok(result) = time::timeout(disconnect_after, acquire).await else {
             lock(&cluster.history).count("left while claiming");
             return;
         };
@@ -72,7 +72,7 @@
     proceed(cluster, &killed, key, held, random).await;
 }
 
-/// Records what the caller is told if the claim was not acquired.
+/// Records the outcome of an attempt that did not acquire its claim.
 fn record_rejection(cluster: &Cluster, process: &Process, key: history::Key, rejection: Rejection) {
     let mut history = lock(&cluster.history);
     if *lock(&process.killed) {
@@ -126,7 +126,7 @@
     }
 }
 
-/// Dispatches a call, which may lose its response.
+/// Dispatches a call; its response may be lost.
 async fn run(
     cluster: &Cluster,
     killed: &Mutex<bool>,
--- a/node/examples/claim_runs/simulation/cluster.rs
+++ b/node/examples/claim_runs/simulation/cluster.rs
@@ -24,7 +24,8 @@
 /// Fault probabilities of one seed.
 #[derive(Clone, Copy, Debug)]
 pub struct Rates {
-    /// Probability of each kind of fault in a call of the key-value service.
+    /// Probability of each of the three kinds of fault in a call of the key-value
+    /// service.
     pub call: f64,
     /// Probability that a message between nodes is lost.
     pub message: f64,
@@ -74,7 +75,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Draws a number of milliseconds.
+/// Draws a duration in whole milliseconds, at least `from` and below `to`.
 pub fn random_millis(random: &mut SmallRng, from: u64, to: u64) -> Duration {
     Duration::from_millis(random.random_range(from..to))
 }
@@ -90,7 +91,7 @@
 }
 
 /// Returns a function that draws the fault of each call: one of three faults
-/// with the probability `rate` each, or else a short delay.
+/// with the probability `rate` each, or else a delay below [`MAX_CALL_DELAY`].
 fn faults(mut random: SmallRng, rate: f64) -> impl FnMut(Call) -> Option<Fault> + Send + 'static {
     move |_| {
         let draw: f64 = random.random();
@@ -114,7 +115,7 @@
     pub fn new(random: &mut SmallRng) -> Self {
         let rates = Rates::draw(random);
         let network = Network::new(SmallRng::from_rng(random), rates.message);
-        let world = Self {
+        let cluster = Self {
             service: Store::default(),
             network,
             rates,
@@ -124,10 +125,10 @@
             history: Mutex::default(),
         };
         for index in 0..NODES {
-            let process = world.start(index, random);
-            lock(&world.processes).push(process);
+            let process = cluster.start(index, random);
+            lock(&cluster.processes).push(process);
         }
-        world
+        cluster
     }
 
     fn start(&self, index: usize, random: &mut SmallRng) -> Process {
--- a/node/examples/claim_runs/simulation/history.rs
+++ b/node/examples/claim_runs/simulation/history.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 /// Time for which a key is guaranteed to run at most once.
-const GUARANTEE: Duration = Duration::from_hours(12);
+const GUARANTEE_PERIOD: Duration = Duration::from_hours(12);
 
 /// Index of an idempotency key.
 pub type Key = usize;
@@ -13,8 +13,10 @@
 /// One run of a key.
 #[derive(Clone, Debug)]
 struct Run {
-    at: Instant,
-    answer: Vec<u8>,
+    /// When the run started.
+    started: Instant,
+    /// Body of its response.
+    response: Vec<u8>,
 }
 
 /// Number of attempts by outcome.
@@ -33,6 +35,7 @@
 /// Runs, outcomes and violations of one seed.
 #[derive(Debug, Default)]
 pub struct History {
+    /// Runs of each key, oldest first.
     runs: BTreeMap<Key, Vec<Run>>,
     /// Number of attempts by outcome.
     pub outcomes: Outcomes,
@@ -41,22 +44,24 @@
 }
 
 impl History {
-    /// Records a run, and a violation if the key ran before within the guarantee.
-    pub fn run(&mut self, key: Key, answer: Vec<u8>) {
+    /// Records a run, and a violation if the key ran before within
+    /// [`GUARANTEE_PERIOD`].
+    pub fn run(&mut self, key: Key, response: Vec<u8>) {
         let now = Instant::now();
         if let Some(earlier) = self.last_run(key, now) {
-            let gap = now - earlier.at;
+            let gap = now - earlier.started;
             self.violations
                 .push(format!("key {key} ran again after {gap:?}"));
         }
         self.count("run");
-        self.runs
-            .entry(key)
-            .or_default()
-            .push(Run { at: now, answer });
+        self.runs.entry(key).or_default().push(Run {
+            started: now,
+            response,
+        });
     }
 
-    /// Records a refusal that says "not run" about the time before `moment`.
+    /// Records that a caller was told "not run", and a violation if the key ran
+    /// before `moment`.
     pub fn not_run(&mut self, key: Key, moment: Instant) {
         self.count("not run");
         if self.last_run(key, moment).is_some() {
@@ -67,10 +72,10 @@
     }
 
     /// Records a replayed response, and a violation if no run of the key gave it.
-    pub fn replay(&mut self, key: Key, answer: &[u8]) {
+    pub fn replay(&mut self, key: Key, response: &[u8]) {
         self.count("replay");
         let runs = self.runs.get(&key);
-        let known = runs.is_some_and(|runs| runs.iter().any(|run| run.answer == answer));
+        let known = runs.is_some_and(|runs| runs.iter().any(|run| run.response == response));
         if !known {
             self.violations.push(format!(
                 "key {key} got a response that none of its runs gave"
@@ -83,11 +88,12 @@
         *self.outcomes.0.entry(outcome).or_default() += 1;
     }
 
-    /// Returns the last run before `moment` that the guarantee still covers.
+    /// Returns the last run before `moment`, unless it is longer ago than
+    /// [`GUARANTEE_PERIOD`].
     fn last_run(&self, key: Key, moment: Instant) -> Option<&Run> {
         let runs = self.runs.get(&key)?;
         runs.iter()
             .rev()
-            .find(|run| run.at < moment && moment - run.at < GUARANTEE)
+            .find(|run| run.started < moment && moment - run.started < GUARANTEE_PERIOD)
     }
 }
--- a/node/examples/claim_runs/simulation/mod.rs
+++ b/node/examples/claim_runs/simulation/mod.rs
@@ -19,9 +19,13 @@
 
 pub use history::{History, Outcomes};
 
+/// Number of idempotency keys.
 const KEYS: usize = 3;
+/// Number of callers that use one key.
 const CALLERS_PER_KEY: usize = 5;
+/// Number of calls that one caller sends, one after another.
 const SENDS_PER_CALLER: usize = 6;
+/// Number of times that a fault is set or cleared.
 const FAULT_CHANGES: usize = 25;
 
 /// Randomly takes the service down and up, replaces processes and cuts nodes off.
--- a/node/examples/claim_runs/simulation/network.rs
+++ b/node/examples/claim_runs/simulation/network.rs
@@ -19,8 +19,10 @@
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
 struct Inner {
+    /// Attempts of the process that each node's name is routed to.
     nodes: BTreeMap<id::Node, Attempts>,
     random: SmallRng,
+    /// Probability that a request or a response is lost.
     loss_rate: f64,
 }
 
--- a/node/examples/control_cost.rs
+++ b/node/examples/control_cost.rs
@@ -108,7 +108,7 @@
             heartbeat_bytes(members)
         );
     }
-    let before = resident_kib();
+    let resident_before = resident_kib();
     let names: Vec<String> = (0..nodes)
         .map(|index| format!("entry-{index:03}"))
         .collect();
@@ -121,20 +121,20 @@
     }
     println!("{complete} of {nodes} nodes see all {nodes}");
     let (bytes, calls, failures, opened) = totals(&cluster);
-    let (started, processor) = (Instant::now(), processor_seconds());
+    let (started, processor_before) = (Instant::now(), processor_seconds());
     sleep(span).await;
     let seconds = started.elapsed().as_secs_f64();
-    let processor = processor_seconds() - processor;
+    let processor = processor_seconds() - processor_before;
     let after = totals(&cluster);
-    let per = |value: u64| value as f64 / seconds / nodes as f64;
+    let per_node_second = |value: u64| value as f64 / seconds / nodes as f64;
     println!(
         "per node: {:.0} bytes/s in and out, {:.2} calls/s, {:.3} failures/s, {:.2} connections/s, {:.4} % of a core, {:.0} KiB",
-        per(after.0 - bytes),
-        per(after.1 - calls),
-        per(after.2 - failures),
-        per(after.3 - opened),
+        per_node_second(after.0 - bytes),
+        per_node_second(after.1 - calls),
+        per_node_second(after.2 - failures),
+        per_node_second(after.3 - opened),
         100.0 * processor / seconds / nodes as f64,
-        (resident_kib() - before) / nodes as f64,
+        (resident_kib() - resident_before) / nodes as f64,
     );
 }
 
--- a/node/examples/path_cost.rs
+++ b/node/examples/path_cost.rs
@@ -166,9 +166,9 @@
 async fn measure_connections(deployment: &Deployment) -> Result<()> {
     let address = deployment.caller_address(NODE)?;
     let before = usage(deployment).await?;
-    let mut held = Vec::new();
+    let mut connections = Vec::new();
     for _ in 0..IDLE_CONNECTIONS {
-        held.push(TcpStream::connect(&address).await?);
+        connections.push(TcpStream::connect(&address).await?);
     }
     tokio::time::sleep(Duration::from_secs(1)).await;
     let after = usage(deployment).await?;
@@ -183,12 +183,13 @@
 async fn measure_open_streams(deployment: &Deployment) -> Result<()> {
     let address = deployment.caller_address(NODE)?;
     let before = usage(deployment).await?;
-    let mut held = Vec::new();
+    let mut streams = Vec::new();
     for number in 0..OPEN_STREAMS {
-        held.push(chat(&address, 2_000, number).send().await?);
+        streams.push(chat(&address, 2_000, number).send().await?);
     }
     eventually("the streams run", async || {
-        held.iter()
+        streams
+            .iter()
             .all(|response| response.status.is_success())
             .then_some(())
     })
