--- a/node/tests/chain/mod.rs
+++ b/node/tests/chain/mod.rs
@@ -47,7 +47,9 @@
 /// Bearer key of the workspace `small`, which is limited to one request at a time.
 pub const SMALL_KEY: &str = "small-key";
 
-const TEXT: &str = "
+/// Configuration of the tests, in YAML; `SMALL` stands for the digest of
+/// [`SMALL_KEY`].
+const CONFIGURATION: &str = "
 tiers: [gate, dispute, tag]
 services:
   tally-llm: {kind: model, models: [tally-7b], adapters: [disputes], window: 40000}
@@ -84,13 +86,13 @@
 }
 
 impl Dispatcher {
-    fn decide(&self) -> Decision {
+    fn next_decision(&self) -> Decision {
         let next = self.decisions.lock().expect("unpoisoned").pop_front();
         next.unwrap_or(Decision::Admit("tally-1"))
     }
 
-    async fn answer(&self, request: Request<Claimed>) -> Result<Request<Admitted>, Refused> {
-        match self.decide() {
+    async fn decide(&self, request: Request<Claimed>) -> Result<Request<Admitted>, Refused> {
+        match self.next_decision() {
             Decision::Admit(endpoint) => Ok(request.admit(id::Endpoint::from(endpoint))),
             Decision::Refuse(reason) => Err(Refused {
                 refusal: refusal::Refusal {
@@ -110,12 +112,12 @@
     }
 
     async fn admit(&self, request: Request<Claimed>) -> Result<Request<Admitted>, Refused> {
-        self.answer(request).await
+        self.decide(request).await
     }
 
     async fn readmit(&self, request: Request<Claimed>) -> Result<Request<Admitted>, Refused> {
         self.send(Event::Unsent(request.id()));
-        self.answer(request).await
+        self.decide(request).await
     }
 }
 
@@ -152,7 +154,7 @@
     pub status: u16,
     /// Content type.
     pub content_type: &'static str,
-    /// Correlation value; the request's own one if `None`.
+    /// Correlation value; that of the request if `None`.
     pub correlation: Option<&'static str>,
 }
 
@@ -252,8 +254,11 @@
 
 /// Body of a scripted response.
 pub struct ScriptBody {
+    /// Steps that are still to be taken.
     steps: VecDeque<Step>,
+    /// Pending step [`Step::WaitFor`], if any.
     waiting: Option<Pin<Box<dyn Future<Output = ()> + Send>>>,
+    /// Notified if the body is dropped before its end.
     cancelled: Arc<Notify>,
     ended: bool,
 }
@@ -355,7 +360,7 @@
 /// Returns the configuration of the tests.
 pub fn configuration() -> Configuration {
     let small = dottereltally_testutils::deployment::hash_bearer_key(SMALL_KEY);
-    let text = TEXT.replace("sha256:SMALL", &small);
+    let text = CONFIGURATION.replace("sha256:SMALL", &small);
     text.parse().expect("a valid configuration")
 }
 
--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -61,12 +61,14 @@
     }
 }
 
-/// A peer service whose answers and generation the test sets.
+/// A peer service whose attempt statuses and generation the test sets.
 pub struct Service {
     generation: watch::Sender<u64>,
+    /// Connections to the peers, by which higher generations are fetched; `None`
+    /// if they are not set up.
     peers: Mutex<Option<peer::Handle>>,
-    /// Answers by claim key and attempt token.
-    pub answers: Mutex<BTreeMap<(String, String), peer::Status>>,
+    /// Statuses of attempts by claim key and attempt token; others are unknown.
+    pub statuses: Mutex<BTreeMap<(String, String), peer::Status>>,
     messages: mpsc::UnboundedSender<(id::Node, Message)>,
 }
 
@@ -80,7 +82,7 @@
         let service = Self {
             generation: watch::channel(0).0,
             peers: Mutex::default(),
-            answers: Mutex::default(),
+            statuses: Mutex::default(),
             messages,
         };
         (Arc::new(service), receiver)
@@ -113,8 +115,8 @@
 impl peer::Service for Service {
     fn attempt_status(&self, claim: &str, token: &str) -> peer::Status {
         let key = (claim.to_owned(), token.to_owned());
-        let answers = self.answers.lock().unwrap();
-        answers.get(&key).cloned().unwrap_or(peer::Status::Unknown)
+        let statuses = self.statuses.lock().unwrap();
+        statuses.get(&key).cloned().unwrap_or(peer::Status::Unknown)
     }
 
     fn configuration(&self, above: id::Generation) -> Option<layout::Configuration> {
--- a/node/tests/faulty/mod.rs
+++ b/node/tests/faulty/mod.rs
@@ -20,7 +20,7 @@
 
 /// Correlation value that belongs to no request of the test.
 const FOREIGN_CORRELATION: &str = "entry-1-other";
-/// Limit of the pause between two frames, in milliseconds.
+/// Upper bound of the pause between two frames, in milliseconds.
 const MAX_PAUSE_MS: u64 = 150;
 /// Largest number of events of a stream, without its usage and end events.
 const MAX_STREAM_EVENTS: u64 = 30;
@@ -56,26 +56,26 @@
 #[derive(Clone)]
 pub struct Endpoints {
     rng: Arc<Mutex<SmallRng>>,
-    /// The requests that they received.
+    /// Record of the requests that reached the endpoints.
     pub history: Arc<Mutex<History>>,
 }
 
 /// How an endpoint treats a request.
 #[derive(Clone, Copy, Debug)]
 enum Behaviour {
-    /// The connection is refused, so that nothing is handed over.
+    /// The connection is refused, so that nothing is sent.
     Unsent,
-    /// The connection breaks before the head of the answer.
+    /// The connection breaks before the head of the response.
     Broken,
-    /// No answer comes.
+    /// The endpoint never responds.
     Silent,
-    /// The answer carries the correlation value of another request.
+    /// The response carries the correlation value of another request.
     Crossed,
     /// The connection breaks in place of the last frame.
     Cut,
     /// The last frame never comes.
     Stalled,
-    /// The answer is complete.
+    /// The response is complete.
     Whole,
 }
 
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Draws the behaviour towards a request, the number of events of the answer
-    /// and a seed for its delays.
+    /// Draws the behaviour towards a request, the number of events of the response
+    /// if it is streamed, and a seed for its delays.
     fn draw(&self) -> (Behaviour, u64, u64) {
         let mut rng = self.rng.lock().expect("unpoisoned");
         let behaviour = match rng.random_range(0..100) {
@@ -193,7 +193,7 @@
     }
 }
 
-/// Returns the frames of an answer that carries this correlation value.
+/// Returns the frames of a response that carries this correlation value.
 fn frames(correlation: &str, streamed: bool, events: u64) -> Vec<String> {
     if !streamed {
         let middle = format!("\"id\": \"{correlation}\"");
@@ -212,7 +212,7 @@
     frames
 }
 
-/// Body of an answer, with random pauses between its frames.
+/// Body of a response, with random pauses between its frames.
 pub struct Body {
     behaviour: Behaviour,
     frames: Vec<String>,
--- a/node/tests/test_claim.rs
+++ b/node/tests/test_claim.rs
@@ -23,6 +23,7 @@
 
 const FINGERPRINT: id::Fingerprint = id::Fingerprint(7);
 const OTHER_FINGERPRINT: id::Fingerprint = id::Fingerprint(8);
+/// Deadline of an attempt to acquire a claim, from its start.
 const ACQUIRE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A node with its own client of the shared key-value service.
@@ -649,6 +650,7 @@
 async fn a_response_too_large_to_keep_counts_as_lost() {
     let cluster = Cluster::new();
     let limits = replay::Limits {
+        // One byte less than the response has.
         answer: 3,
         ..replay::Limits::default()
     };
--- a/node/tests/test_claim_random.rs
+++ b/node/tests/test_claim_random.rs
@@ -8,6 +8,7 @@
 
 const FIRST_SEED: u64 = 0;
 const SEEDS: u64 = 150;
+/// Number of seeds that are run twice to compare the outcomes.
 const REPEATED_SEEDS: u64 = 20;
 
 #[test]
--- a/node/tests/test_configuration.rs
+++ b/node/tests/test_configuration.rs
@@ -22,7 +22,7 @@
 /// Longest time until an accepted configuration is in force.
 const MAX_DELAY: Duration = Duration::from_secs(3);
 
-const TEXT: &str = include_str!("data/text.yaml");
+const CONFIGURATION: &str = include_str!("data/text.yaml");
 
 /// Peers that provide one configuration and count the requests for it.
 #[derive(Clone, Default)]
@@ -53,7 +53,7 @@
 /// A configuration controller with its sources.
 struct Node {
     store: Store,
-    peer: FakePeers,
+    peers: FakePeers,
     handle: Handle,
     counters: Counters,
     actor: ActorRef<Message>,
@@ -61,20 +61,20 @@
 
 impl Node {
     async fn start(store: Store) -> Self {
-        let peer = FakePeers::default();
+        let peers = FakePeers::default();
         let handle = Handle::default();
         let counters = Counters::default();
         let (actor, _task) = Controller::start(Arguments {
             handle: handle.clone(),
             store: store.clone(),
-            peers: peer.clone(),
+            peers: peers.clone(),
             counters: counters.clone(),
         })
         .await
         .unwrap();
         Self {
             store,
-            peer,
+            peers,
             handle,
             counters,
             actor,
@@ -105,7 +105,7 @@
 fn record(generation: u64) -> layout::Configuration {
     layout::Configuration {
         generation: id::Generation(generation),
-        text: TEXT.to_owned(),
+        text: CONFIGURATION.to_owned(),
         author: "ana".to_owned(),
         time: "2026-01-01T00:00:00Z".to_owned(),
         token: format!("token-{generation}"),
@@ -127,7 +127,7 @@
     store.put_directly(layout::CONFIGURATION_KEY, value);
 }
 
-/// Waits for several periodic reads.
+/// Waits so long that the node makes several periodic reads.
 async fn wait_for_reads() {
     time::sleep(Duration::from_secs(10)).await;
 }
@@ -165,6 +165,7 @@
         store.set_silent(true);
         store.set_timeout(Duration::from_mins(1));
         for fault in faults {
+            // The periodic reads are transactions.
             store.inject(Call::Transact, *fault);
         }
         write(&store, &record(1));
@@ -195,7 +196,7 @@
     let store = Store::default();
     store.set_down(true);
     let node = Node::start(store).await;
-    *node.peer.record.lock().unwrap() = Some(record(7));
+    *node.peers.record.lock().unwrap() = Some(record(7));
     assert!(node.wait_in_force(7).await <= MAX_DELAY);
 }
 
@@ -207,13 +208,13 @@
     node.wait_in_force(1).await;
     store.set_down(true);
     wait_for_reads().await;
-    *node.peer.record.lock().unwrap() = Some(record(2));
+    *node.peers.record.lock().unwrap() = Some(record(2));
     node.handle.note_generation(id::Generation(2));
     assert!(node.wait_in_force(2).await <= MAX_DELAY);
-    let requests = *node.peer.requests.lock().unwrap();
+    let requests = *node.peers.requests.lock().unwrap();
     node.handle.note_generation(id::Generation(2));
     wait_for_reads().await;
-    assert_eq!(*node.peer.requests.lock().unwrap(), requests);
+    assert_eq!(*node.peers.requests.lock().unwrap(), requests);
 }
 
 #[tokio::test(start_paused = true)]
@@ -230,7 +231,7 @@
     wait_for_reads().await;
     // From a peer.
     node.offer(record(2));
-    *node.peer.record.lock().unwrap() = Some(record(2));
+    *node.peers.record.lock().unwrap() = Some(record(2));
     node.handle.note_generation(id::Generation(2));
     wait_for_reads().await;
     assert_eq!(node.handle.generation(), id::Generation(5));
@@ -298,11 +299,11 @@
     let duration = Duration::from_mins(10);
     time::sleep(duration).await;
     let after = node.store.count();
-    let calls = after.transactions + after.reads - before.transactions - before.reads;
-    println!("{calls} reads in {duration:?}");
+    let reads = after.transactions + after.reads - before.transactions - before.reads;
+    println!("{reads} reads in {duration:?}");
     // The read period is jittered around a mean of one second; the shortest is
     // 0.8 seconds.
-    assert!(calls <= 750, "{calls} reads in {duration:?}");
+    assert!(reads <= 750, "{reads} reads in {duration:?}");
     assert_eq!(after.watches, before.watches);
     assert_eq!(after.leases, before.leases);
 }
--- a/node/tests/test_crash.rs
+++ b/node/tests/test_crash.rs
@@ -47,23 +47,23 @@
 #[case(1)]
 #[case(2)]
 #[tokio::test(flavor = "multi_thread")]
-async fn is_refused_after_two_deaths(#[case] nodes: usize) -> Result<()> {
+async fn is_quarantined_after_two_crashes(#[case] nodes: usize) -> Result<()> {
     let mut deployment = start(nodes).await?;
     let names = deployment.node_names();
     let mut sends = 0;
     eventually("the request is quarantined", async || {
         sends += 1;
         let node = &names[sends % nodes];
-        let answer = deployment.chat(node, MARKER, 4).ok()?.fetch().await.ok()?;
-        (answer.json()["reason"] == "quarantine").then_some(())
+        let response = deployment.chat(node, MARKER, 4).ok()?.fetch().await.ok()?;
+        (response.json()["reason"] == "quarantine").then_some(())
     })
     .await?;
     let crashes = crashed(&mut deployment)?;
     assert!(crashes <= MAX_CRASHES, "{crashes} engines crashed");
     for node in &names {
         eventually("every node has quarantined the request", async || {
-            let answer = deployment.chat(node, MARKER, 4).ok()?.fetch().await.ok()?;
-            (answer.json()["reason"] == "quarantine").then_some(())
+            let response = deployment.chat(node, MARKER, 4).ok()?.fetch().await.ok()?;
+            (response.json()["reason"] == "quarantine").then_some(())
         })
         .await?;
     }
@@ -94,18 +94,18 @@
         let crash_response = deployment.chat(last, MARKER, 4)?.fetch().await;
         drop(crash_response);
         for call in calls {
-            if let Ok(answer) = call.await? {
-                let reason = &answer.json()["reason"];
-                assert_ne!(reason, "quarantine", "{}", answer.text);
+            if let Ok(response) = call.await? {
+                let reason = &response.json()["reason"];
+                assert_ne!(reason, "quarantine", "{}", response.text);
             }
         }
     }
     for number in 0..HARMLESS_REQUESTS {
         let prompt = harmless_prompt(number);
         eventually("a harmless request is served", async || {
-            let answer = deployment.chat("entry-1", &prompt, 40).ok()?;
-            let answer = answer.fetch().await.ok()?;
-            (answer.content() == format::completion_text(&prompt, 40)).then_some(())
+            let call = deployment.chat("entry-1", &prompt, 40).ok()?;
+            let response = call.fetch().await.ok()?;
+            (response.content() == format::completion_text(&prompt, 40)).then_some(())
         })
         .await?;
     }
--- a/node/tests/test_dispatch.rs
+++ b/node/tests/test_dispatch.rs
@@ -30,19 +30,19 @@
 #[case("during")]
 #[case("after")]
 #[tokio::test(flavor = "multi_thread")]
-async fn the_connection_breaks(#[case] point: &str) -> Result<()> {
+async fn is_received_once_if_the_connection_breaks(#[case] point: &str) -> Result<()> {
     let deployment = Fixture::single().start().await?;
     for name in ["tally-1", "tally-2"] {
         let fault = json!({"die": point, "die_next": 1});
         deployment.set_controls(name, &fault).await?;
     }
-    let answer = deployment.chat("entry-1", "unlucky", 8)?.fetch().await;
-    match answer {
+    let response = deployment.chat("entry-1", "unlucky", 8)?.fetch().await;
+    match response {
         // The head was sent before the connection broke.
-        Ok(answer) if answer.status == StatusCode::OK => {
-            assert!(!answer.is_done(), "{}", answer.text);
+        Ok(response) if response.status == StatusCode::OK => {
+            assert!(!response.is_done(), "{}", response.text);
         }
-        Ok(answer) => assert_eq!(answer.run_state(), "may-have-run", "{}", answer.text),
+        Ok(response) => assert_eq!(response.run_state(), "may-have-run", "{}", response.text),
         Err(cause) => assert_eq!(point, "after", "{cause:?}"),
     }
     assert_eq!(count_received(&deployment, "unlucky").await?, 1);
@@ -50,7 +50,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_engine_is_killed_while_the_request_runs() -> Result<()> {
+async fn is_not_sent_again_if_its_engine_is_killed() -> Result<()> {
     let mut deployment = Fixture::single().start().await?;
     for name in ["tally-1", "tally-2"] {
         deployment
@@ -60,8 +60,9 @@
     let call = tokio::spawn(deployment.chat("entry-1", "unlucky", 8)?.fetch());
     let name = running_engine(&deployment).await?;
     deployment.endpoint_process(&name)?.kill().await?;
-    let answer = call.await??;
-    assert_eq!(answer.run_state(), "may-have-run", "{}", answer.text);
+    let response = call.await??;
+    assert_eq!(response.run_state(), "may-have-run", "{}", response.text);
+    // The restarted engine has no record of the first delivery.
     deployment.restart_endpoint(&name).await?;
     assert_eq!(count_received(&deployment, "unlucky").await?, 0);
     Ok(())
@@ -83,16 +84,16 @@
 
 /// Nothing was sent, so that another endpoint can serve the request.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_connection_is_refused() -> Result<()> {
+async fn is_received_once_if_another_endpoint_refused_the_connection() -> Result<()> {
     let deployment = Fixture::single().start().await?;
     deployment
         .set_controls("tally-1", &json!({"down": true}))
         .await?;
     for number in 0..REQUESTS {
         let prompt = format!("request {number}");
-        let answer = deployment.chat("entry-1", &prompt, 4)?.fetch().await?;
-        assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
-        assert_eq!(answer.content(), format::completion_text(&prompt, 4));
+        let response = deployment.chat("entry-1", &prompt, 4)?.fetch().await?;
+        assert_eq!(response.status, StatusCode::OK, "{}", response.text);
+        assert_eq!(response.content(), format::completion_text(&prompt, 4));
         assert_eq!(count_received(&deployment, &prompt).await?, 1);
     }
     Ok(())
@@ -101,7 +102,7 @@
 /// The endpoint closes its idle connections between the requests, and still
 /// receives each at most once.
 #[tokio::test(flavor = "multi_thread")]
-async fn idle_connections_were_closed() -> Result<()> {
+async fn is_received_at_most_once_if_idle_connections_were_closed() -> Result<()> {
     let fixture = Fixture {
         engines: 1,
         ..Fixture::single()
@@ -109,11 +110,11 @@
     let deployment = fixture.start().await?;
     for number in 0..REQUESTS {
         let prompt = format!("request {number}");
-        let answer = deployment.chat("entry-1", &prompt, 4)?.fetch().await?;
-        if answer.status == StatusCode::OK {
-            assert_eq!(answer.content(), format::completion_text(&prompt, 4));
+        let response = deployment.chat("entry-1", &prompt, 4)?.fetch().await?;
+        if response.status == StatusCode::OK {
+            assert_eq!(response.content(), format::completion_text(&prompt, 4));
         }
-        if answer.run_state() == "not-run" {
+        if response.run_state() == "not-run" {
             assert_eq!(count_received(&deployment, &prompt).await?, 0);
         }
         assert!(count_received(&deployment, &prompt).await? <= 1);
--- a/node/tests/test_dispatcher.rs
+++ b/node/tests/test_dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher with the real scheduler.
+//! Tests of the dispatcher with the real scheduler.
 
 mod chain;
 
@@ -46,7 +46,8 @@
     sender: Sender,
     clock: Clock,
     probes: Probes,
-    next: Mutex<u64>,
+    /// Number of the last request that was built.
+    last_request: Mutex<u64>,
 }
 
 impl Harness {
@@ -90,14 +91,14 @@
             sender,
             clock,
             probes,
-            next: Mutex::new(0),
+            last_request: Mutex::new(0),
         }
     }
 
     /// Builds a claimed request to a service.
     fn request(&self, service: &str) -> Request<Claimed> {
-        let mut next = self.next.lock().expect("unpoisoned");
-        *next += 1;
+        let mut number = self.last_request.lock().expect("unpoisoned");
+        *number += 1;
         let now = self.clock.now();
         let profile = Profile {
             call: id::Call::from("tickets"),
@@ -110,10 +111,10 @@
             prompt: Tokens(1),
             output: Tokens(0),
             prefixes: Vec::new(),
-            fingerprint: id::Fingerprint(*next),
+            fingerprint: id::Fingerprint(*number),
             idempotent: true,
         };
-        Request::new(id::Request(*next), Arc::new(profile)).claim()
+        Request::new(id::Request(*number), Arc::new(profile)).claim()
     }
 
     /// Reports the end of a request.
--- a/node/tests/test_exclusive.rs
+++ b/node/tests/test_exclusive.rs
@@ -16,7 +16,7 @@
 /// Number of payments that are sent through two nodes at once.
 const CONCURRENT_PAYMENTS: usize = 24;
 
-/// Sends the payment without waiting for its answer.
+/// Sends the payment without waiting for its response.
 fn start_payment(deployment: &Deployment, node: &str) -> Result<JoinHandle<Result<Response>>> {
     Ok(tokio::spawn(deployment.pay(node, KEY)?.fetch()))
 }
@@ -24,8 +24,8 @@
 /// Sends the payment until it succeeds.
 async fn pay_until_success(deployment: &Deployment, node: &str) -> Result<Response> {
     eventually("the payment is answered", async || {
-        let answer = deployment.pay(node, KEY).ok()?.fetch().await.ok()?;
-        answer.status.is_success().then_some(answer)
+        let response = deployment.pay(node, KEY).ok()?.fetch().await.ok()?;
+        response.status.is_success().then_some(response)
     })
     .await
 }
@@ -33,33 +33,36 @@
 /// Sends a payment whose outcome the nodes can't know; the response must say that
 /// it may have run.
 async fn expect_may_have_run(deployment: &Deployment, node: &str) -> Result<()> {
-    let answer = deployment.pay(node, KEY)?.fetch().await?;
-    let (status, text) = (answer.status, &answer.text);
-    ensure!(answer.run_state() == "may-have-run", "{status} {text}");
+    let response = deployment.pay(node, KEY)?.fetch().await?;
+    let (status, text) = (response.status, &response.text);
+    ensure!(response.run_state() == "may-have-run", "{status} {text}");
     Ok(())
 }
 
-/// Returns the number of transactions that the key-value service received.
-async fn claim_transactions(deployment: &Deployment) -> Result<u64> {
+/// Returns the number of transactions that the key-value service received: those
+/// of claims and the nodes' periodic reads of the configuration.
+async fn transaction_count(deployment: &Deployment) -> Result<u64> {
     let counts = deployment.counts("kv").await?;
     Ok(counts["calls"]["kv/txn"].as_u64().unwrap_or(0))
 }
 
-/// Waits until the key-value service has received more transactions.
-async fn wait_for_claims_above(deployment: &Deployment, before: u64) -> Result<()> {
-    eventually("a claim is made", async || {
-        (claim_transactions(deployment).await.ok()? > before).then_some(())
+/// Waits until the key-value service has received more than `before`
+/// transactions.
+async fn wait_for_transactions_above(deployment: &Deployment, before: u64) -> Result<()> {
+    eventually("the key-value service receives a transaction", async || {
+        (transaction_count(deployment).await.ok()? > before).then_some(())
     })
     .await
 }
 
-/// Returns the revision of the key-value service.
+/// Returns the revision of the key-value service, which every write raises.
 async fn revision(deployment: &Deployment) -> Result<u64> {
     let counts = deployment.counts("kv").await?;
     Ok(counts["revision"].as_u64().unwrap_or(0))
 }
 
-/// Waits until the claim of the payment is stored.
+/// Waits until the claim of the payment is stored, that is until the revision is
+/// above `before`.
 async fn wait_for_stored_claim(deployment: &Deployment, before: u64) -> Result<()> {
     eventually("the claim is stored", async || {
         (revision(deployment).await.ok()? > before).then_some(())
@@ -67,20 +70,20 @@
     .await
 }
 
-async fn switch(deployment: &Deployment, name: &str, change: Value) -> Result<()> {
+async fn set_controls(deployment: &Deployment, name: &str, change: Value) -> Result<()> {
     deployment.set_controls(name, &change).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn repeated_while_the_first_attempt_runs() -> Result<()> {
+async fn runs_once_if_repeated_while_the_first_attempt_runs() -> Result<()> {
     let deployment = Fixture::default().start().await?;
-    switch(&deployment, "ledger-1", json!({"hold": true})).await?;
+    set_controls(&deployment, "ledger-1", json!({"hold": true})).await?;
     let first = start_payment(&deployment, "entry-1")?;
     deployment.wait_for_count("ledger-1", "running", 1).await?;
-    let before = claim_transactions(&deployment).await?;
+    let before = transaction_count(&deployment).await?;
     let second = start_payment(&deployment, "entry-2")?;
-    wait_for_claims_above(&deployment, before).await?;
-    switch(&deployment, "ledger-1", json!({"hold": false})).await?;
+    wait_for_transactions_above(&deployment, before).await?;
+    set_controls(&deployment, "ledger-1", json!({"hold": false})).await?;
     let first = first.await??;
     assert_eq!(first.status, StatusCode::OK, "{}", first.text);
     let second = second.await??;
@@ -94,27 +97,27 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn repeated_after_the_caller_disconnected() -> Result<()> {
+async fn runs_once_if_repeated_after_the_caller_disconnected() -> Result<()> {
     let deployment = Fixture::default().start().await?;
-    switch(&deployment, "ledger-1", json!({"hold": true})).await?;
+    set_controls(&deployment, "ledger-1", json!({"hold": true})).await?;
     let first = start_payment(&deployment, "entry-1")?;
     deployment.wait_for_count("ledger-1", "running", 1).await?;
     first.abort();
-    switch(&deployment, "ledger-1", json!({"hold": false})).await?;
+    set_controls(&deployment, "ledger-1", json!({"hold": false})).await?;
     pay_until_success(&deployment, "entry-2").await?;
     assert_eq!(deployment.payment_runs(KEY).await?, 1);
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn repeated_after_its_node_was_killed_while_it_ran() -> Result<()> {
+async fn runs_once_if_repeated_after_its_node_was_killed_while_it_ran() -> Result<()> {
     let mut deployment = Fixture::default().start().await?;
-    switch(&deployment, "ledger-1", json!({"hold": true})).await?;
+    set_controls(&deployment, "ledger-1", json!({"hold": true})).await?;
     let first = start_payment(&deployment, "entry-1")?;
     deployment.wait_for_count("ledger-1", "running", 1).await?;
     deployment.kill_node("entry-1").await?;
     assert!(first.await?.is_err());
-    switch(&deployment, "ledger-1", json!({"hold": false})).await?;
+    set_controls(&deployment, "ledger-1", json!({"hold": false})).await?;
     for _ in 0..3 {
         expect_may_have_run(&deployment, "entry-2").await?;
     }
@@ -123,15 +126,15 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn repeated_after_its_node_was_killed_while_claiming() -> Result<()> {
+async fn runs_at_most_once_if_repeated_after_its_node_was_killed_while_claiming() -> Result<()> {
     let mut deployment = Fixture::default().start().await?;
     let before = revision(&deployment).await?;
-    switch(&deployment, "kv", json!({"hold_after": true})).await?;
+    set_controls(&deployment, "kv", json!({"hold_after": true})).await?;
     let first = start_payment(&deployment, "entry-1")?;
     wait_for_stored_claim(&deployment, before).await?;
     deployment.kill_node("entry-1").await?;
     assert!(first.await?.is_err());
-    switch(&deployment, "kv", json!({"hold_after": false})).await?;
+    set_controls(&deployment, "kv", json!({"hold_after": false})).await?;
     let second = deployment.pay("entry-2", KEY)?.fetch().await?;
     let runs = deployment.payment_runs(KEY).await?;
     assert!(runs <= 1);
@@ -145,21 +148,21 @@
 /// The holder is paused after its claim is stored, another node receives the
 /// repeated call, and the holder resumes.
 #[tokio::test(flavor = "multi_thread")]
-async fn repeated_while_the_holder_of_the_claim_is_paused() -> Result<()> {
+async fn runs_once_if_repeated_while_the_holder_of_the_claim_is_paused() -> Result<()> {
     let mut deployment = Fixture::default().start().await?;
     let before = revision(&deployment).await?;
-    switch(&deployment, "kv", json!({"hold_after": true})).await?;
+    set_controls(&deployment, "kv", json!({"hold_after": true})).await?;
     let first = start_payment(&deployment, "entry-1")?;
     wait_for_stored_claim(&deployment, before).await?;
     deployment
         .node_process("entry-1")?
         .signal(Signal::SIGSTOP)?;
-    switch(&deployment, "kv", json!({"hold_after": false})).await?;
+    set_controls(&deployment, "kv", json!({"hold_after": false})).await?;
     let mut refused = Vec::new();
     for _ in 0..3 {
-        let answer = deployment.pay("entry-2", KEY)?.fetch().await?;
-        if !answer.status.is_success() {
-            refused.push(answer.run_state());
+        let response = deployment.pay("entry-2", KEY)?.fetch().await?;
+        if !response.status.is_success() {
+            refused.push(response.run_state());
         }
     }
     deployment
@@ -182,15 +185,15 @@
 
 /// The holder is paused while the ledger runs the payment.
 #[tokio::test(flavor = "multi_thread")]
-async fn repeated_while_its_node_is_paused() -> Result<()> {
+async fn runs_once_if_repeated_while_its_node_is_paused() -> Result<()> {
     let mut deployment = Fixture::default().start().await?;
-    switch(&deployment, "ledger-1", json!({"hold": true})).await?;
+    set_controls(&deployment, "ledger-1", json!({"hold": true})).await?;
     let first = start_payment(&deployment, "entry-1")?;
     deployment.wait_for_count("ledger-1", "running", 1).await?;
     deployment
         .node_process("entry-1")?
         .signal(Signal::SIGSTOP)?;
-    switch(&deployment, "ledger-1", json!({"hold": false})).await?;
+    set_controls(&deployment, "ledger-1", json!({"hold": false})).await?;
     expect_may_have_run(&deployment, "entry-2").await?;
     deployment
         .node_process("entry-1")?
@@ -207,22 +210,22 @@
 #[case(1)]
 #[case(3)]
 #[tokio::test(flavor = "multi_thread")]
-async fn the_response_to_the_claim_is_lost(#[case] times: u64) -> Result<()> {
+async fn runs_once_if_the_response_to_the_claim_is_lost(#[case] times: u64) -> Result<()> {
     let deployment = Fixture::default().start().await?;
-    switch(&deployment, "kv", json!({"lose_answers": times})).await?;
+    set_controls(&deployment, "kv", json!({"lose_answers": times})).await?;
     let first = deployment.pay("entry-1", KEY)?.fetch().await?;
     assert_eq!(first.status, StatusCode::OK, "{}", first.text);
     assert_eq!(deployment.payment_runs(KEY).await?, 1);
-    switch(&deployment, "kv", json!({"lose_answers": 0})).await?;
+    set_controls(&deployment, "kv", json!({"lose_answers": 0})).await?;
     pay_until_success(&deployment, "entry-2").await?;
     assert_eq!(deployment.payment_runs(KEY).await?, 1);
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_request_of_the_claim_is_lost() -> Result<()> {
+async fn runs_once_if_the_request_of_the_claim_is_lost() -> Result<()> {
     let deployment = Fixture::default().start().await?;
-    switch(&deployment, "kv", json!({"lose_requests": 1})).await?;
+    set_controls(&deployment, "kv", json!({"lose_requests": 1})).await?;
     let first = deployment.pay("entry-1", KEY)?.fetch().await?;
     if first.run_state() == "not-run" {
         assert_eq!(deployment.payment_runs(KEY).await?, 0);
@@ -233,7 +236,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn sent_through_two_nodes_at_once() -> Result<()> {
+async fn runs_once_if_sent_through_two_nodes_at_once() -> Result<()> {
     let deployment = Fixture::default().start().await?;
     let mut calls = Vec::new();
     for number in 0..CONCURRENT_PAYMENTS {
@@ -245,12 +248,12 @@
     }
     let mut succeeded = Vec::new();
     for (key, call) in calls {
-        let answer = call.await??;
-        if answer.status.is_success() {
+        let response = call.await??;
+        if response.status.is_success() {
             succeeded.push(key);
             continue;
         }
-        assert_eq!(answer.run_state(), "may-have-run", "{}", answer.text);
+        assert_eq!(response.run_state(), "may-have-run", "{}", response.text);
     }
     for number in 0..CONCURRENT_PAYMENTS {
         let key = format!("race-{number}");
@@ -264,18 +267,18 @@
 #[case(json!({"down": true}), json!({"down": false}))]
 #[case(json!({"silent": "all"}), json!({"silent": "none"}))]
 #[tokio::test(flavor = "multi_thread")]
-async fn the_key_value_service_is_down_before_the_claim(
+async fn is_refused_while_the_key_value_service_is_down(
     #[case] outage: Value,
     #[case] recovery: Value,
 ) -> Result<()> {
     let deployment = Fixture::default().start().await?;
-    switch(&deployment, "kv", outage).await?;
+    set_controls(&deployment, "kv", outage).await?;
     let first = deployment.pay("entry-1", KEY)?.fetch().await?;
     let status = first.status;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE, "{}", first.text);
     assert!(first.headers.contains_key("retry-after"));
     assert_eq!(deployment.payment_runs(KEY).await?, 0);
-    switch(&deployment, "kv", recovery).await?;
+    set_controls(&deployment, "kv", recovery).await?;
     pay_until_success(&deployment, "entry-2").await?;
     assert_eq!(deployment.payment_runs(KEY).await?, 1);
     Ok(())
@@ -285,34 +288,36 @@
 #[case("hold_before")]
 #[case("hold_after")]
 #[tokio::test(flavor = "multi_thread")]
-async fn the_key_value_service_fails_during_the_claim(#[case] hold: &str) -> Result<()> {
+async fn runs_once_if_the_key_value_service_fails_during_the_claim(
+    #[case] hold: &str,
+) -> Result<()> {
     let deployment = Fixture::default().start().await?;
-    let before = claim_transactions(&deployment).await?;
-    switch(&deployment, "kv", json!({hold: true})).await?;
+    let before = transaction_count(&deployment).await?;
+    set_controls(&deployment, "kv", json!({hold: true})).await?;
     let first = start_payment(&deployment, "entry-1")?;
-    wait_for_claims_above(&deployment, before).await?;
-    switch(&deployment, "kv", json!({"down": true, hold: false})).await?;
+    wait_for_transactions_above(&deployment, before).await?;
+    set_controls(&deployment, "kv", json!({"down": true, hold: false})).await?;
     let first = first.await??;
     if !first.status.is_success() {
         assert_eq!(first.run_state(), "may-have-run", "{}", first.text);
     }
-    switch(&deployment, "kv", json!({"down": false})).await?;
+    set_controls(&deployment, "kv", json!({"down": false})).await?;
     pay_until_success(&deployment, "entry-2").await?;
     assert_eq!(deployment.payment_runs(KEY).await?, 1);
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_key_value_service_fails_after_the_claim() -> Result<()> {
+async fn runs_once_if_the_key_value_service_fails_after_the_claim() -> Result<()> {
     let deployment = Fixture::default().start().await?;
-    switch(&deployment, "ledger-1", json!({"hold": true})).await?;
+    set_controls(&deployment, "ledger-1", json!({"hold": true})).await?;
     let first = start_payment(&deployment, "entry-1")?;
     deployment.wait_for_count("ledger-1", "running", 1).await?;
-    switch(&deployment, "kv", json!({"down": true})).await?;
-    switch(&deployment, "ledger-1", json!({"hold": false})).await?;
+    set_controls(&deployment, "kv", json!({"down": true})).await?;
+    set_controls(&deployment, "ledger-1", json!({"hold": false})).await?;
     let first = first.await??;
     assert_eq!(first.status, StatusCode::OK, "{}", first.text);
-    switch(&deployment, "kv", json!({"down": false})).await?;
+    set_controls(&deployment, "kv", json!({"down": false})).await?;
     let second = pay_until_success(&deployment, "entry-2").await?;
     assert_eq!(second.text, first.text);
     assert_eq!(deployment.payment_runs(KEY).await?, 1);
@@ -323,11 +328,14 @@
 #[case("before", 0)]
 #[case("after", 1)]
 #[tokio::test(flavor = "multi_thread")]
-async fn the_endpoint_crashes(#[case] point: &str, #[case] runs: u64) -> Result<()> {
+async fn is_not_sent_again_after_the_endpoint_closed_the_connection(
+    #[case] point: &str,
+    #[case] runs: u64,
+) -> Result<()> {
     let deployment = Fixture::default().start().await?;
-    switch(&deployment, "ledger-1", json!({"die": point})).await?;
+    set_controls(&deployment, "ledger-1", json!({"die": point})).await?;
     expect_may_have_run(&deployment, "entry-1").await?;
-    switch(&deployment, "ledger-1", json!({"die": "none"})).await?;
+    set_controls(&deployment, "ledger-1", json!({"die": "none"})).await?;
     for node in ["entry-2", "entry-1"] {
         expect_may_have_run(&deployment, node).await?;
     }
@@ -337,14 +345,14 @@
 
 /// Nothing was sent, so that the claim is released.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_endpoint_refuses_the_connection() -> Result<()> {
+async fn runs_later_if_the_endpoint_refused_the_connection() -> Result<()> {
     let deployment = Fixture::default().start().await?;
-    switch(&deployment, "ledger-1", json!({"down": true})).await?;
+    set_controls(&deployment, "ledger-1", json!({"down": true})).await?;
     let call = deployment.pay("entry-1", KEY)?;
     let first = call.header("dottereltally-deadline", "1s").fetch().await?;
     assert!(!first.status.is_success(), "{}", first.text);
     assert_eq!(deployment.payment_runs(KEY).await?, 0);
-    switch(&deployment, "ledger-1", json!({"down": false})).await?;
+    set_controls(&deployment, "ledger-1", json!({"down": false})).await?;
     pay_until_success(&deployment, "entry-2").await?;
     assert_eq!(deployment.payment_runs(KEY).await?, 1);
     Ok(())
--- a/node/tests/test_generations.rs
+++ b/node/tests/test_generations.rs
@@ -29,8 +29,8 @@
 /// Asserts that payments are served at a path.
 async fn assert_in_force(deployment: &Deployment, node: &str, path: &str) -> Result<()> {
     let call = deployment.call(node, Method::POST, path)?;
-    let answer = call.header("idempotency-key", path).fetch().await?;
-    assert_eq!(answer.status, StatusCode::OK, "{node}: {}", answer.text);
+    let response = call.header("idempotency-key", path).fetch().await?;
+    assert_eq!(response.status, StatusCode::OK, "{node}: {}", response.text);
     Ok(())
 }
 
--- a/node/tests/test_leaving.rs
+++ b/node/tests/test_leaving.rs
@@ -21,9 +21,9 @@
     for number in 0..REQUESTS {
         for node in ["entry-1", "entry-2"] {
             let prompt = format!("{round} {node} {number}");
-            let answer = deployment.chat(node, &prompt, 2)?.fetch().await?;
-            assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
-            assert_eq!(answer.content(), format::completion_text(&prompt, 2));
+            let response = deployment.chat(node, &prompt, 2)?.fetch().await?;
+            assert_eq!(response.status, StatusCode::OK, "{}", response.text);
+            assert_eq!(response.content(), format::completion_text(&prompt, 2));
         }
     }
     Ok(())
@@ -50,14 +50,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn marked_as_leaving_by_the_host_list() -> Result<()> {
+async fn an_endpoint_that_the_host_list_marks_as_leaving_gets_no_requests() -> Result<()> {
     let mut deployment = Fixture::default().start().await?;
     deployment.mark_leaving("tally-1").await?;
     assert_unused(&deployment, "tally-1").await
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn reported_as_leaving_by_the_endpoint() -> Result<()> {
+async fn an_endpoint_that_reports_itself_as_leaving_gets_no_requests() -> Result<()> {
     let deployment = Fixture::default().start().await?;
     deployment
         .set_controls("tally-1", &json!({"leaving": true}))
@@ -80,17 +80,17 @@
     deployment.mark_leaving("tally-1").await?;
     let late = deployment.chat("entry-1", "late", 2)?;
     let late = eventually("new requests are refused", async || {
-        let answer = late.clone().header("dottereltally-deadline", "1s");
-        let answer = answer.fetch().await.ok()?;
-        (answer.run_state() == "not-run").then_some(answer)
+        let call = late.clone().header("dottereltally-deadline", "1s");
+        let response = call.fetch().await.ok()?;
+        (response.run_state() == "not-run").then_some(response)
     })
     .await?;
     assert_eq!(late.status, StatusCode::SERVICE_UNAVAILABLE);
     deployment
         .set_controls("tally-1", &json!({"hold": false}))
         .await?;
-    let answer = running.await??;
-    assert!(answer.is_done(), "{}", answer.text);
-    assert_eq!(answer.content(), format::completion_text("long", 200));
+    let response = running.await??;
+    assert!(response.is_done(), "{}", response.text);
+    assert_eq!(response.content(), format::completion_text("long", 200));
     Ok(())
 }
--- a/node/tests/test_not_run.rs
+++ b/node/tests/test_not_run.rs
@@ -26,15 +26,15 @@
     Ok(total)
 }
 
-fn assert_refused(answer: &Response, status: u16, reason: &str) {
-    assert_eq!(answer.status.as_u16(), status, "{}", answer.text);
-    assert_eq!(answer.json()["reason"], reason, "{}", answer.text);
-    assert_eq!(answer.run_state(), "not-run", "{}", answer.text);
-    let kind = &answer.headers["content-type"];
+fn assert_refused(response: &Response, status: u16, reason: &str) {
+    assert_eq!(response.status.as_u16(), status, "{}", response.text);
+    assert_eq!(response.json()["reason"], reason, "{}", response.text);
+    assert_eq!(response.run_state(), "not-run", "{}", response.text);
+    let kind = &response.headers["content-type"];
     assert_eq!(kind, "application/problem+json");
-    assert!(answer.headers.contains_key("dottereltally-request"));
+    assert!(response.headers.contains_key("dottereltally-request"));
     for member in ["title", "detail"] {
-        assert!(answer.json()[member].is_string(), "{}", answer.text);
+        assert!(response.json()[member].is_string(), "{}", response.text);
     }
 }
 
@@ -100,8 +100,8 @@
 ) -> Result<()> {
     let deployment = Fixture::single().start().await?;
     let call = rejection.request(&deployment.caller_address("entry-1")?);
-    let answer = call.fetch().await?;
-    assert_refused(&answer, status, reason);
+    let response = call.fetch().await?;
+    assert_refused(&response, status, reason);
     assert_eq!(count_received(&deployment).await?, 0);
     Ok(())
 }
@@ -110,9 +110,9 @@
 async fn refuses_a_model_that_no_engine_has() -> Result<()> {
     let deployment = Fixture::single().start().await?;
     let call = Rejection::UnknownModel.request(&deployment.caller_address("entry-1")?);
-    let answer = call.fetch().await?;
-    assert!(!answer.status.is_success(), "{}", answer.text);
-    assert_eq!(answer.run_state(), "not-run", "{}", answer.text);
+    let response = call.fetch().await?;
+    assert!(!response.status.is_success(), "{}", response.text);
+    assert_eq!(response.run_state(), "not-run", "{}", response.text);
     assert_eq!(count_received(&deployment).await?, 0);
     Ok(())
 }
@@ -157,9 +157,9 @@
             .await?;
     }
     let call = deployment.chat("entry-1", "hello", 4)?;
-    let answer = call.header("dottereltally-deadline", "2s").fetch().await?;
-    assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert_eq!(answer.run_state(), "not-run", "{}", answer.text);
+    let response = call.header("dottereltally-deadline", "2s").fetch().await?;
+    assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+    assert_eq!(response.run_state(), "not-run", "{}", response.text);
     assert_eq!(count_received(&deployment).await?, 0);
     Ok(())
 }
@@ -189,9 +189,9 @@
         waiting.push(tokio::spawn(call.fetch()));
     }
     for call in waiting {
-        let answer = call.await??;
-        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-        assert_eq!(answer.run_state(), "not-run", "{}", answer.text);
+        let response = call.await??;
+        assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+        assert_eq!(response.run_state(), "not-run", "{}", response.text);
     }
     let seen = deployment.counts("tally-1").await?.to_string();
     for number in 0..20 {
--- a/node/tests/test_observer.rs
+++ b/node/tests/test_observer.rs
@@ -88,18 +88,18 @@
         if !head.ends_with(b"\r\n\r\n") {
             continue;
         }
-        let answer = if head.starts_with(b"GET /load ") {
+        let response = if head.starts_with(b"GET /load ") {
             load_response(&pages)
         } else {
             Some(events_response(&pages))
         };
         head.clear();
-        let Some((answer, keep_open)) = answer else {
+        let Some((response, keep_open)) = response else {
             // A silent endpoint keeps the connection open.
             std::future::pending::<()>().await;
             return;
         };
-        if stream.write_all(answer.as_bytes()).await.is_err() || !keep_open {
+        if stream.write_all(response.as_bytes()).await.is_err() || !keep_open {
             return;
         }
     }
@@ -110,8 +110,8 @@
 fn load_response(pages: &Mutex<Pages>) -> Option<(String, bool)> {
     let page = pages.lock().unwrap().load.clone()?;
     let length = page.len();
-    let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{page}");
-    Some((answer, true))
+    let response = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{page}");
+    Some((response, true))
 }
 
 /// Returns the response to a request for cache events, and whether the
@@ -126,8 +126,8 @@
             true,
         );
     };
-    let answer = format!("HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n{events}");
-    (answer, index + 1 == pages.streams.len())
+    let response = format!("HTTP/1.1 200 OK\r\nconnection: close\r\n\r\n{events}");
+    (response, index + 1 == pages.streams.len())
 }
 
 fn record(endpoint: &Endpoint) -> Record {
--- a/node/tests/test_outage.rs
+++ b/node/tests/test_outage.rs
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Sets fault switches of each unavailable part.
-    async fn set(self, deployment: &Deployment, change: &Value) -> Result<()> {
+    /// Sets controls of the stand-ins for the unavailable parts.
+    async fn set_controls(self, deployment: &Deployment, change: &Value) -> Result<()> {
         for name in self.names() {
             deployment.set_controls(name, change).await?;
         }
@@ -43,9 +43,9 @@
     for number in 0..REQUESTS {
         for node in nodes {
             let prompt = format!("{node} {number}");
-            let answer = deployment.chat(node, &prompt, 4)?.fetch().await?;
-            assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
-            assert_eq!(answer.content(), format::completion_text(&prompt, 4));
+            let response = deployment.chat(node, &prompt, 4)?.fetch().await?;
+            assert_eq!(response.status, StatusCode::OK, "{}", response.text);
+            assert_eq!(response.content(), format::completion_text(&prompt, 4));
         }
     }
     Ok(())
@@ -64,18 +64,18 @@
 ) -> Result<()> {
     let deployment = Fixture::default().start().await?;
     assert_serves(&deployment, &["entry-1", "entry-2"]).await?;
-    outage.set(&deployment, &fault).await?;
+    outage.set_controls(&deployment, &fault).await?;
     assert_serves(&deployment, &["entry-1", "entry-2"]).await?;
     let restored = json!({"down": false, "silent": "none", "slow_ms": 0});
-    outage.set(&deployment, &restored).await?;
+    outage.set_controls(&deployment, &restored).await?;
     eventually("payments are accepted again", async || {
-        let answer = deployment
+        let response = deployment
             .pay("entry-1", "after")
             .ok()?
             .fetch()
             .await
             .ok()?;
-        answer.status.is_success().then_some(())
+        response.status.is_success().then_some(())
     })
     .await?;
     assert_eq!(deployment.payment_runs("after").await?, 1);
@@ -88,7 +88,7 @@
 async fn a_node_started_during_an_outage_serves_after_it() -> Result<()> {
     let mut deployment = Fixture::default().start().await?;
     Outage::Both
-        .set(&deployment, &json!({"down": true}))
+        .set_controls(&deployment, &json!({"down": true}))
         .await?;
     deployment.add_node("entry-3", "plovdiv").await?;
     let early = deployment.chat("entry-3", "early", 2)?.fetch().await?;
@@ -96,7 +96,7 @@
         assert_eq!(early.run_state(), "not-run", "{}", early.text);
     }
     Outage::Both
-        .set(&deployment, &json!({"down": false}))
+        .set_controls(&deployment, &json!({"down": false}))
         .await?;
     deployment.wait_until_converged(1).await?;
     assert_serves(&deployment, &["entry-1", "entry-2", "entry-3"]).await
@@ -107,7 +107,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_started_during_an_outage_gets_the_configuration_from_a_peer() -> Result<()> {
     let mut deployment = Fixture::default().start().await?;
-    Outage::Kv.set(&deployment, &json!({"down": true})).await?;
+    Outage::Kv
+        .set_controls(&deployment, &json!({"down": true}))
+        .await?;
     deployment.add_node("entry-3", "plovdiv").await?;
     deployment.wait_until_converged(1).await?;
     assert_serves(&deployment, &["entry-3"]).await
@@ -138,7 +140,7 @@
         (running == 1).then_some(())
     })
     .await?;
-    Outage::Both.set(&deployment, &fault).await?;
+    Outage::Both.set_controls(&deployment, &fault).await?;
     deployment
         .node_process("entry-1")?
         .signal(Signal::SIGTERM)?;
--- a/node/tests/test_path.rs
+++ b/node/tests/test_path.rs
@@ -16,12 +16,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_a_completion(#[case] version: Version) -> Result<()> {
     let deployment = Fixture::default().start().await?;
-    let answer = deployment.chat("entry-1", "hello", 12)?;
-    let answer = answer.version(version).fetch().await?;
-    assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
-    assert!(answer.is_done(), "{}", answer.text);
-    assert_eq!(answer.content(), format::completion_text("hello", 12));
-    assert!(answer.headers.contains_key("dottereltally-request"));
+    let call = deployment.chat("entry-1", "hello", 12)?;
+    let response = call.version(version).fetch().await?;
+    assert_eq!(response.status, StatusCode::OK, "{}", response.text);
+    assert!(response.is_done(), "{}", response.text);
+    assert_eq!(response.content(), format::completion_text("hello", 12));
+    assert!(response.headers.contains_key("dottereltally-request"));
     Ok(())
 }
 
@@ -32,10 +32,10 @@
     body["stream"] = json!(false);
     body["model"] = json!(MODELS[1]);
     let call = deployment.call("entry-2", Method::POST, "/v1/chat/completions")?;
-    let answer = call.json(&body).fetch().await?;
-    assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
-    assert_eq!(answer.content(), format::completion_text("hello", 7));
-    assert_eq!(answer.json()["usage"]["completion_tokens"], 7);
+    let response = call.json(&body).fetch().await?;
+    assert_eq!(response.status, StatusCode::OK, "{}", response.text);
+    assert_eq!(response.content(), format::completion_text("hello", 7));
+    assert_eq!(response.json()["usage"]["completion_tokens"], 7);
     Ok(())
 }
 
@@ -43,9 +43,9 @@
 async fn forwards_plain_calls() -> Result<()> {
     let deployment = Fixture::default().start().await?;
     let call = deployment.call("entry-2", Method::GET, "/tickets/17")?;
-    let answer = call.fetch().await?;
-    assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
-    assert_eq!(answer.json()["path"], "/tickets/17");
+    let response = call.fetch().await?;
+    assert_eq!(response.status, StatusCode::OK, "{}", response.text);
+    assert_eq!(response.json()["path"], "/tickets/17");
     Ok(())
 }
 
@@ -71,9 +71,9 @@
     let slow = json!({"decode_ms": 20.0});
     deployment.set_controls("tally-1", &slow).await?;
     let call = deployment.chat("entry-1", "hello", 1_000)?;
-    let mut answer = call.send().await?;
-    assert!(answer.next_chunk().await?.is_some());
-    drop(answer);
+    let mut response = call.send().await?;
+    assert!(response.next_chunk().await?.is_some());
+    drop(response);
     deployment.wait_for_count("tally-1", "cancelled", 1).await?;
     let counts = deployment.counts("tally-1").await?;
     assert_eq!(counts["finished"], 0);
--- a/node/tests/test_path_random.rs
+++ b/node/tests/test_path_random.rs
@@ -1,9 +1,9 @@
-//! Randomised tests of the request path with the real decision core and the
-//! real claims.
+//! Randomised tests of the request path with the real scheduler and the real
+//! claims.
 //!
 //! Endpoints, the key-value service and callers fail at random, on paused
-//! time. What the callers were told is checked against the requests that the
-//! endpoints recorded.
+//! time. The responses that the callers received are checked against the
+//! requests that the endpoints recorded.
 
 mod chain;
 mod faulty;
@@ -205,15 +205,15 @@
     } else {
         Duration::from_hours(1)
     };
-    let answering = async { read(subject.serve(request).await).await };
-    let Ok(answer) = timeout(disconnect_after, answering).await else {
+    let response = async { read(subject.serve(request).await).await };
+    let Ok(response) = timeout(disconnect_after, response).await else {
         return;
     };
     let order = history.lock().expect("unpoisoned").tick();
     received.lock().expect("unpoisoned").push(Received {
         key,
         order,
-        response: answer,
+        response,
     });
 }
 
@@ -236,18 +236,21 @@
     }
 }
 
-/// Checks that an answer belongs to its request, and that it is complete or its
-/// connection ended with an error; all answers to one key must be the same.
-fn check_answer(received: &Received, answers: &mut BTreeMap<String, String>) {
+/// Checks that a successful response belongs to its request, and that it is
+/// complete or its connection ended with an error; all responses to one key must
+/// be the same.
+fn check_response(received: &Received, responses_by_key: &mut BTreeMap<String, String>) {
     let text = &received.response.text;
     if let Some(key) = &received.key {
-        let first = answers.entry(key.clone()).or_insert_with(|| text.clone());
-        assert_eq!(first, text, "{key} got two different answers");
+        let first = responses_by_key
+            .entry(key.clone())
+            .or_insert_with(|| text.clone());
+        assert_eq!(first, text, "{key} got two different responses");
         return;
     }
-    let own_id = format!("\"id\": \"{}\"", correlation(received));
+    let expected_id = format!("\"id\": \"{}\"", correlation(received));
     assert_eq!(
-        text.matches(&own_id).count(),
+        text.matches(&expected_id).count(),
         text.matches("\"id\": ").count(),
         "{text}"
     );
@@ -272,11 +275,11 @@
     for (key, runs) in runs_by_key {
         assert_eq!(runs, 1, "{key} ran {runs} times");
     }
-    let mut answers = BTreeMap::new();
+    let mut responses_by_key = BTreeMap::new();
     let mut outcomes: BTreeMap<String, u64> = BTreeMap::new();
     for received in received {
         if received.response.status.is_success() {
-            check_answer(received, &mut answers);
+            check_response(received, &mut responses_by_key);
             *outcomes.entry("answered".to_owned()).or_default() += 1;
             continue;
         }
@@ -325,13 +328,13 @@
     let mut calls = Vec::new();
     for _ in 0..CALLER_COUNT {
         let history = Arc::clone(&endpoints.history);
-        let calling = call(
+        let call = call(
             Arc::clone(&subject),
             history,
             rng.random(),
             Arc::clone(&received),
         );
-        calls.push(tokio::spawn(calling));
+        calls.push(tokio::spawn(call));
     }
     for call in calls {
         call.await.expect("no caller panics");
--- a/node/tests/test_peer.rs
+++ b/node/tests/test_peer.rs
@@ -79,12 +79,12 @@
     body: vec![0, 1, 255],
 }))]
 #[tokio::test]
-async fn the_answer_of_an_attempt_arrives_unchanged(#[case] status: Status) {
+async fn the_status_of_an_attempt_arrives_unchanged(#[case] status: Status) {
     let (a, b) = (start("a"), start("b"));
     set_peer(&a, "b", &b.address);
     let key = ("claim".to_owned(), "token".to_owned());
     b.service
-        .answers
+        .statuses
         .lock()
         .unwrap()
         .insert(key, status.clone());
--- a/node/tests/test_platform.rs
+++ b/node/tests/test_platform.rs
@@ -1,5 +1,5 @@
 //! Tests of claims and configuration against the stand-in for the key-value
-//! service, which loses requests and answers or falls silent.
+//! service, which loses requests and responses or falls silent.
 
 #[path = "../examples/claim_runs/simulation/network.rs"]
 mod network;
@@ -66,8 +66,8 @@
         Keeper::start(node, self.store(), self.network.clone(), attempts, limits)
     }
 
-    /// Sets fault switches of the key-value service.
-    async fn set(&self, change: serde_json::Value) -> Result<()> {
+    /// Sets controls of the stand-in for the key-value service.
+    async fn set_controls(&self, change: serde_json::Value) -> Result<()> {
         set_controls(&self.kv.control.to_string(), &change).await
     }
 }
@@ -103,14 +103,14 @@
     let platform = Platform::new().await?;
     let (a, b) = (platform.keeper("a"), platform.keeper("b"));
     acquire(&a).await?.release().await?;
-    platform.set(fault.clone()).await?;
+    platform.set_controls(fault.clone()).await?;
     let held = acquire(&a).await?;
-    platform.set(fault.clone()).await?;
+    platform.set_controls(fault.clone()).await?;
     held.release().await?;
     let claims = platform.store().list(layout::CLAIMS_PREFIX, 10).await?;
     assert!(claims.is_empty(), "{claims:?}");
     let dispatched = acquire(&a).await?.dispatch()?;
-    platform.set(fault).await?;
+    platform.set_controls(fault).await?;
     dispatched.complete(payment_response());
     assert_eq!(
         acquire(&b).await.err(),
@@ -124,13 +124,13 @@
     let platform = Platform::new().await?;
     let keeper = platform.keeper("a");
     acquire(&keeper).await?.release().await?;
-    platform.set(json!({"down": true})).await?;
+    platform.set_controls(json!({"down": true})).await?;
     let rejection = acquire(&keeper).await.err();
     assert!(
         matches!(rejection, Some(Rejection::Unavailable { .. })),
         "{rejection:?}"
     );
-    platform.set(json!({"down": false})).await?;
+    platform.set_controls(json!({"down": false})).await?;
     eventually("the service is back", async || {
         keeper.is_available().then_some(())
     })
@@ -183,7 +183,7 @@
                     .is_some_and(|current| current.record == record)
             })
             .await?;
-        platform.set(fault.clone()).await?;
+        platform.set_controls(fault.clone()).await?;
     }
     actor.stop(None);
     Ok(())
--- a/node/tests/test_pool.rs
+++ b/node/tests/test_pool.rs
@@ -31,20 +31,20 @@
     Closed,
 }
 
-/// A fake endpoint that gives the same answer to every request.
+/// A fake endpoint that gives the same response to every request.
 struct Endpoint {
     address: String,
     events: mpsc::UnboundedReceiver<Event>,
 }
 
 impl Endpoint {
-    async fn start(answer: &'static str) -> Self {
+    async fn start(response: &'static str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address").to_string();
         let (sender, events) = mpsc::unbounded_channel();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(serve(stream, answer, sender.clone()));
+                tokio::spawn(serve(stream, response, sender.clone()));
             }
         });
         Self { address, events }
@@ -55,8 +55,8 @@
     }
 }
 
-/// Answers each request on a connection; an empty answer closes it.
-async fn serve(mut stream: TcpStream, answer: &str, events: mpsc::UnboundedSender<Event>) {
+/// Answers each request on a connection; an empty response closes it.
+async fn serve(mut stream: TcpStream, response: &str, events: mpsc::UnboundedSender<Event>) {
     let _ = events.send(Event::Opened);
     let mut head = Vec::new();
     loop {
@@ -71,7 +71,7 @@
         }
         head.clear();
         let _ = events.send(Event::Request);
-        if answer.is_empty() || stream.write_all(answer.as_bytes()).await.is_err() {
+        if response.is_empty() || stream.write_all(response.as_bytes()).await.is_err() {
             return;
         }
     }
@@ -98,7 +98,7 @@
 }
 
 #[tokio::test]
-async fn reuses_a_connection_whose_answer_was_read_to_its_end() {
+async fn reuses_a_connection_whose_response_was_read_to_its_end() {
     let mut endpoint = Endpoint::start(COMPLETE_RESPONSE).await;
     let pool = Pool::default();
     for _ in 0..2 {
@@ -122,7 +122,7 @@
 }
 
 #[tokio::test]
-async fn closes_a_connection_whose_answer_was_dropped() {
+async fn closes_a_connection_whose_response_was_dropped() {
     let mut endpoint = Endpoint::start(TRUNCATED_RESPONSE).await;
     let pool = Pool::default();
     let response = pool.send(&endpoint.address, message(), Reuse::Idle).await;
@@ -177,7 +177,7 @@
 }
 
 #[tokio::test]
-async fn reports_a_truncated_answer() {
+async fn reports_a_truncated_response() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("an address").to_string();
     tokio::spawn(async move {
@@ -188,7 +188,7 @@
         stream
             .write_all(TRUNCATED_RESPONSE.as_bytes())
             .await
-            .expect("the answer is written");
+            .expect("the response is written");
     });
     let response = Pool::default().send(&address, message(), Reuse::Idle).await;
     let body = response.expect("the head of a response").into_body();
--- a/node/tests/test_random.rs
+++ b/node/tests/test_random.rs
@@ -102,16 +102,16 @@
             .bearer_key(DEMO_KEY)
             .header("idempotency-key", key)
             .json(&json!({"payment": key}));
-        let Ok(answer) = call.fetch().await else {
+        let Ok(response) = call.fetch().await else {
             continue;
         };
-        if answer.status.is_success() {
-            ensure!(answer.json()["run"] == 1, "{key}: {}", answer.text);
+        if response.status.is_success() {
+            ensure!(response.json()["run"] == 1, "{key}: {}", response.text);
             return Ok(true);
         }
-        if answer.run_state() == "not-run" {
+        if response.run_state() == "not-run" {
             let runs = shared.payment_runs(key).await?;
-            ensure!(runs == 0, "{key} ran: {}", answer.text);
+            ensure!(runs == 0, "{key} ran: {}", response.text);
         }
         sleep(Duration::from_millis(rng.random_range(0..40))).await;
     }
@@ -119,7 +119,7 @@
 }
 
 /// Requests completions until the run is over; returns the number of complete
-/// answers.
+/// responses.
 async fn read(shared: Shared, reader: u64, seed: u64) -> Result<u64> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut complete = 0;
@@ -135,24 +135,24 @@
         )
         .bearer_key(DEMO_KEY)
         .json(&chat_body(&prompt, tokens));
-        if let Ok(answer) = call.fetch().await {
-            complete += u64::from(is_complete(&answer, &prompt, tokens)?);
+        if let Ok(response) = call.fetch().await {
+            complete += u64::from(is_complete(&response, &prompt, tokens)?);
         }
     }
     Ok(complete)
 }
 
-/// Returns whether an answer is complete.
+/// Returns whether a response is complete.
 ///
-/// Fails if a complete answer does not belong to the prompt, or if an incomplete
+/// Fails if a complete response does not belong to the prompt, or if an incomplete
 /// one is not reported as such.
-fn is_complete(answer: &Response, prompt: &str, tokens: u64) -> Result<bool> {
-    if answer.status != StatusCode::OK || !answer.is_done() {
-        let reported = answer.text.contains("\"error\"") || !answer.run_state().is_empty();
-        ensure!(reported, "{prompt}: {}", answer.text);
+fn is_complete(response: &Response, prompt: &str, tokens: u64) -> Result<bool> {
+    if response.status != StatusCode::OK || !response.is_done() {
+        let reported = response.text.contains("\"error\"") || !response.run_state().is_empty();
+        ensure!(reported, "{prompt}: {}", response.text);
         return Ok(false);
     }
-    let content = answer.content();
+    let content = response.content();
     ensure!(
         content == format::completion_text(prompt, tokens),
         "{prompt}: {content}"
@@ -209,7 +209,7 @@
     }
 }
 
-/// Sets fault switches of a stand-in, and clears them after a time.
+/// Sets fault controls of a stand-in, and clears them after `duration`.
 async fn inject(
     deployment: &Deployment,
     name: &str,
@@ -218,21 +218,21 @@
 ) -> Result<()> {
     deployment.set_controls(name, &fault).await?;
     sleep(duration).await;
-    deployment.set_controls(name, &cleared_switches(name)).await
+    deployment.set_controls(name, &cleared_controls(name)).await
 }
 
-/// Returns the switches of a stand-in, all set to no fault.
-fn cleared_switches(name: &str) -> Value {
-    let mut cleared_switches = json!({"down": false, "silent": "none", "slow_ms": 0});
-    let own = match name {
+/// Returns the fault controls of a stand-in, all set to no fault.
+fn cleared_controls(name: &str) -> Value {
+    let mut cleared_controls = json!({"down": false, "silent": "none", "slow_ms": 0});
+    let specific = match name {
         "kv" => json!({"lose_answers": 0}),
         "ledger-1" => json!({"die": "none"}),
         _ => json!({"die_next": 0, "cut_next": 0}),
     };
-    for (switch, value) in own.as_object().into_iter().flatten() {
-        cleared_switches[switch] = value.clone();
+    for (control, value) in specific.as_object().into_iter().flatten() {
+        cleared_controls[control] = value.clone();
     }
-    cleared_switches
+    cleared_controls
 }
 
 #[rstest]
@@ -298,8 +298,8 @@
     for node in NODES {
         let key = format!("after-{node}");
         eventually("a payment is answered", async || {
-            let answer = deployment.pay(node, &key).ok()?.fetch().await.ok()?;
-            answer.status.is_success().then_some(())
+            let response = deployment.pay(node, &key).ok()?.fetch().await.ok()?;
+            response.status.is_success().then_some(())
         })
         .await?;
         ensure!(deployment.payment_runs(&key).await? == 1, "{key}");
--- a/node/tests/test_server.rs
+++ b/node/tests/test_server.rs
@@ -1,4 +1,4 @@
-//! Tests of the HTTP server for callers: limits, truncated answers and graceful
+//! Tests of the HTTP server for callers: limits, truncated responses and graceful
 //! shutdown.
 
 use std::{net::SocketAddr, time::Duration};
@@ -31,7 +31,7 @@
     write_timeout: Duration::from_millis(100),
 };
 
-/// Size of one frame of an endless answer.
+/// Size of one frame of an endless response.
 const FRAME_BYTES: usize = 64 * 1024;
 
 /// A running server whose handler the test observes and controls.
@@ -43,9 +43,9 @@
     serving: JoinHandle<()>,
     /// Gets a message for each request that reaches the handler.
     entered: mpsc::UnboundedReceiver<()>,
-    /// Lets the handler answer a request for `/gated`.
+    /// Lets the handler respond to a request for `/gated`.
     gate: std::sync::Arc<Notify>,
-    /// Gets a message for each answer that is dropped.
+    /// Gets a message for each response that is dropped.
     dropped: mpsc::UnboundedReceiver<()>,
 }
 
@@ -58,8 +58,8 @@
     }
 }
 
-/// Returns the answer to a request for this path.
-fn answer(path: &str, guard: Guard) -> Response<Body> {
+/// Returns the response to a request for this path.
+fn respond(path: &str, guard: Guard) -> Response<Body> {
     let frame = Bytes::from(vec![b'x'; FRAME_BYTES]);
     match path {
         "/endless" => {
@@ -94,7 +94,7 @@
                 if request.uri().path() == "/gated" {
                     gate.notified().await;
                 }
-                answer(request.uri().path(), guard)
+                respond(request.uri().path(), guard)
             }
         };
         let serving = server::serve(listener, LIMITS, drain.subscribe(), handler);
@@ -140,7 +140,7 @@
 async fn serves_both_http_versions(#[values(1, 2)] version: u8) {
     let server = Server::start().await;
     let response = send(server.connect().await, version, "/").await;
-    let response = response.expect("an answer");
+    let response = response.expect("a response");
     assert_eq!(response.status(), StatusCode::OK);
     let body = response
         .into_body()
@@ -152,7 +152,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_truncated_answer_is_not_taken_as_complete(#[values(1, 2)] version: u8) {
+async fn a_truncated_response_is_not_taken_as_complete(#[values(1, 2)] version: u8) {
     let server = Server::start().await;
     let response = send(server.connect().await, version, "/cut").await;
     // The connection may end before the head is sent.
@@ -178,7 +178,7 @@
     }
     assert!(!server.serving.is_finished());
     server.gate.notify_one();
-    let response = sending.await.expect("no panic").expect("an answer");
+    let response = sending.await.expect("no panic").expect("a response");
     let body = response
         .into_body()
         .collect()
@@ -195,7 +195,7 @@
         .await
         .expect("a connection");
     let connection = tokio::spawn(connection);
-    let response = sender.send_request(request("/")).await.expect("an answer");
+    let response = sender.send_request(request("/")).await.expect("a response");
     response
         .into_body()
         .collect()
@@ -231,7 +231,7 @@
     let head = format!("GET / HTTP/1.1\r\nx: {}\r\n\r\n", "x".repeat(64 * 1024));
     let _ = stream.write_all(head.as_bytes()).await;
     let mut start = [0; 12];
-    stream.read_exact(&mut start).await.expect("an answer");
+    stream.read_exact(&mut start).await.expect("a response");
     assert_eq!(&start, b"HTTP/1.1 431");
 }
 
@@ -244,5 +244,9 @@
         .write_all(head.as_bytes())
         .await
         .expect("the request is written");
-    server.dropped.recv().await.expect("the answer is dropped");
+    server
+        .dropped
+        .recv()
+        .await
+        .expect("the response is dropped");
 }
--- a/node/tests/test_shutdown.rs
+++ b/node/tests/test_shutdown.rs
@@ -33,13 +33,13 @@
 
 /// Starts a stream and reads its first piece.
 async fn start_stream(deployment: &Deployment, node: &str, prompt: &str) -> Result<ResponseStream> {
-    let mut answer = deployment
+    let mut response = deployment
         .chat(node, prompt, TOKENS_PER_STREAM)?
         .send()
         .await?;
-    assert_eq!(answer.status, StatusCode::OK);
-    assert!(answer.next_chunk().await?.is_some());
-    Ok(answer)
+    assert_eq!(response.status, StatusCode::OK);
+    assert!(response.next_chunk().await?.is_some());
+    Ok(response)
 }
 
 /// Sends SIGTERM to every node in turn; the streams of each run to their end.
@@ -64,11 +64,11 @@
         .await?;
         deployment.node_process(node)?.signal(Signal::SIGTERM)?;
         for (prompt, call) in calls {
-            let answer = call.await??;
-            assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
-            assert!(answer.is_done(), "{node}: {prompt} was cut");
+            let response = call.await??;
+            assert_eq!(response.status, StatusCode::OK, "{}", response.text);
+            assert!(response.is_done(), "{node}: {prompt} was cut");
             assert_eq!(
-                answer.content(),
+                response.content(),
                 format::completion_text(&prompt, TOKENS_PER_STREAM)
             );
         }
@@ -90,15 +90,15 @@
     let operations = deployment.operations_address("entry-1")?;
     eventually("the node is not ready", async || {
         let call = dottereltally_testutils::client::Call::new(&operations, Method::GET, "/readyz");
-        let answer = call.fetch().await.ok()?;
-        (answer.status == StatusCode::SERVICE_UNAVAILABLE).then_some(())
+        let response = call.fetch().await.ok()?;
+        (response.status == StatusCode::SERVICE_UNAVAILABLE).then_some(())
     })
     .await?;
-    if let Ok(answer) = deployment.chat("entry-1", "late", 2)?.fetch().await {
-        if answer.status == StatusCode::OK {
-            assert_eq!(answer.content(), format::completion_text("late", 2));
+    if let Ok(response) = deployment.chat("entry-1", "late", 2)?.fetch().await {
+        if response.status == StatusCode::OK {
+            assert_eq!(response.content(), format::completion_text("late", 2));
         } else {
-            assert_eq!(answer.run_state(), "not-run", "{}", answer.text);
+            assert_eq!(response.run_state(), "not-run", "{}", response.text);
         }
     }
     assert!(running.read_to_end().await?.is_done());
@@ -123,15 +123,15 @@
     let operations = deployment.operations_address("entry-1")?;
     eventually("the node is not ready", async || {
         let call = dottereltally_testutils::client::Call::new(&operations, Method::GET, "/readyz");
-        let answer = call.fetch().await.ok()?;
-        (answer.status == StatusCode::SERVICE_UNAVAILABLE).then_some(())
+        let response = call.fetch().await.ok()?;
+        (response.status == StatusCode::SERVICE_UNAVAILABLE).then_some(())
     })
     .await?;
     deployment
         .set_controls("ledger-1", &json!({"hold": false}))
         .await?;
-    let answer = payment.await??;
-    assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
+    let response = payment.await??;
+    assert_eq!(response.status, StatusCode::OK, "{}", response.text);
     let status = deployment.node_process("entry-1")?.wait().await?;
     assert!(status.success(), "{status}");
     let again = deployment.pay("entry-2", "release-1")?.fetch().await?;
--- a/node/tests/test_silence.rs
+++ b/node/tests/test_silence.rs
@@ -32,12 +32,12 @@
     let deployment = start(1).await?;
     let slow = json!({"decode_ms": 20.0});
     deployment.set_controls("tally-1", &slow).await?;
-    let mut answer = deployment.chat("entry-1", "long", 1_000)?.send().await?;
-    answer.next_chunk().await?;
+    let mut response = deployment.chat("entry-1", "long", 1_000)?.send().await?;
+    response.next_chunk().await?;
     let silent = json!({"silent": "existing", "decode_ms": 2.0});
     deployment.set_controls("tally-1", &silent).await?;
     let mut text = String::new();
-    while let Ok(Some(piece)) = answer.next_chunk().await {
+    while let Ok(Some(piece)) = response.next_chunk().await {
         text.push_str(&piece);
     }
     assert!(!text.contains("[DONE]"));
@@ -45,8 +45,8 @@
     for number in 0..REQUEST_COUNT {
         let prompt = format!("after {number}");
         eventually("a request is served", async || {
-            let answer = chat(&deployment, &prompt).await.ok()?;
-            (answer.content() == format::completion_text(&prompt, 4)).then_some(())
+            let response = chat(&deployment, &prompt).await.ok()?;
+            (response.content() == format::completion_text(&prompt, 4)).then_some(())
         })
         .await?;
     }
@@ -67,16 +67,16 @@
     let mut served = 0;
     for number in 0..REQUEST_COUNT {
         let prompt = format!("after {number}");
-        let answer = chat(&deployment, &prompt).await?;
-        if answer.status == StatusCode::OK {
-            assert_eq!(answer.content(), format::completion_text(&prompt, 4));
+        let response = chat(&deployment, &prompt).await?;
+        if response.status == StatusCode::OK {
+            assert_eq!(response.content(), format::completion_text(&prompt, 4));
             served += 1;
             continue;
         }
-        let refused = answer.run_state() == "not-run";
+        let refused = response.run_state() == "not-run";
         let counts = deployment.counts("tally-1").await?.to_string();
         let ran = counts.contains(&format::digest(&prompt));
-        assert!(!(refused && ran), "{}", answer.text);
+        assert!(!(refused && ran), "{}", response.text);
     }
     assert!(served > 0, "no request was served after the silence");
     Ok(())
@@ -92,8 +92,8 @@
     eventually("requests avoid the silent endpoint", async || {
         for number in 0..REQUEST_COUNT {
             let prompt = format!("probe {number}");
-            let answer = chat(&deployment, &prompt).await.ok()?;
-            if answer.content() != format::completion_text(&prompt, 4) {
+            let response = chat(&deployment, &prompt).await.ok()?;
+            if response.content() != format::completion_text(&prompt, 4) {
                 return None;
             }
         }
--- a/node/tests/test_tiers.rs
+++ b/node/tests/test_tiers.rs
@@ -60,24 +60,24 @@
     deployment.wait_for_count("tally-1", "received", 5).await?;
     let urgent_calls = send(&deployment, urgent_node, "gate", URGENT_COUNT)?;
     for (prompt, call) in urgent_calls {
-        let answer = call
+        let response = call
             .await?
-            .wrap_err("the answer to an urgent request was cut short")?;
-        assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
-        assert_eq!(answer.content(), format::completion_text(&prompt, 2));
+            .wrap_err("the response to an urgent request was cut short")?;
+        assert_eq!(response.status, StatusCode::OK, "{}", response.text);
+        assert_eq!(response.content(), format::completion_text(&prompt, 2));
     }
     let mut shed = 0;
     for (prompt, call) in routine_calls {
-        let Ok(answer) = call.await? else {
-            // The deadline passed in the middle of the answer.
+        let Ok(response) = call.await? else {
+            // The deadline passed in the middle of the response.
             shed += 1;
             continue;
         };
-        if answer.status == StatusCode::OK {
-            assert_eq!(answer.content(), format::completion_text(&prompt, 2));
+        if response.status == StatusCode::OK {
+            assert_eq!(response.content(), format::completion_text(&prompt, 2));
             continue;
         }
-        assert!(!answer.run_state().is_empty(), "{}", answer.text);
+        assert!(!response.run_state().is_empty(), "{}", response.text);
         shed += 1;
     }
     assert!(shed > 0, "there was no overload");
--- a/node/tests/test_whole.rs
+++ b/node/tests/test_whole.rs
@@ -1,4 +1,4 @@
-//! A caller gets the complete answer to its own request, or an error.
+//! A caller gets the complete response to its own request, or an error.
 
 use dottereltally_testutils::{
     deployment::Deployment,
@@ -27,10 +27,10 @@
     deployment
         .set_controls("tally-1", &json!({"cut_next": 1}))
         .await?;
-    let mut answer = deployment.chat("entry-1", "hello", 8)?.send().await?;
+    let mut response = deployment.chat("entry-1", "hello", 8)?.send().await?;
     let mut text = String::new();
     let end = loop {
-        match answer.next_chunk().await {
+        match response.next_chunk().await {
             Ok(Some(piece)) => text.push_str(&piece),
             end => break end,
         }
@@ -49,27 +49,37 @@
     let mut body = chat_body("hello", 8);
     body["stream"] = json!(false);
     let call = deployment.call("entry-1", Method::POST, "/v1/chat/completions")?;
-    let answer = call.json(&body).fetch().await?;
-    assert_eq!(answer.status, StatusCode::BAD_GATEWAY, "{}", answer.text);
-    assert_eq!(answer.run_state(), "may-have-run");
+    let response = call.json(&body).fetch().await?;
+    assert_eq!(
+        response.status,
+        StatusCode::BAD_GATEWAY,
+        "{}",
+        response.text
+    );
+    assert_eq!(response.run_state(), "may-have-run");
     Ok(())
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_to_another_request_is_discarded() -> Result<()> {
+async fn a_response_to_another_request_is_discarded() -> Result<()> {
     let deployment = single_engine().await?;
     deployment
         .set_controls("tally-1", &json!({"wrong_echo": true}))
         .await?;
-    let answer = deployment.chat("entry-1", "hello", 8)?.fetch().await?;
-    assert_eq!(answer.status, StatusCode::BAD_GATEWAY, "{}", answer.text);
-    assert_eq!(answer.run_state(), "may-have-run");
-    assert!(!answer.text.contains(&format::digest("hello")));
+    let response = deployment.chat("entry-1", "hello", 8)?.fetch().await?;
+    assert_eq!(
+        response.status,
+        StatusCode::BAD_GATEWAY,
+        "{}",
+        response.text
+    );
+    assert_eq!(response.run_state(), "may-have-run");
+    assert!(!response.text.contains(&format::digest("hello")));
     Ok(())
 }
 
 /// Connections whose streams were cancelled are never reused, so that no caller
-/// gets the rest of another caller's answer.
+/// gets the rest of another caller's response.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_caller_gets_the_rest_of_a_cancelled_stream() -> Result<()> {
     let deployment = single_engine().await?;
@@ -77,9 +87,9 @@
         let mut cancelled = Vec::new();
         for number in 0..CALLER_COUNT {
             let prompt = format!("left {round} {number}");
-            let mut answer = deployment.chat("entry-1", &prompt, 500)?.send().await?;
-            answer.next_chunk().await?;
-            cancelled.push(answer);
+            let mut response = deployment.chat("entry-1", &prompt, 500)?.send().await?;
+            response.next_chunk().await?;
+            cancelled.push(response);
         }
         let mut calls = Vec::new();
         for number in 0..CALLER_COUNT {
@@ -89,10 +99,10 @@
             cancelled.pop();
         }
         for (prompt, call) in calls {
-            let answer = call.await??;
-            assert_eq!(answer.status, StatusCode::OK, "{}", answer.text);
-            assert!(answer.is_done());
-            assert_eq!(answer.content(), format::completion_text(&prompt, 16));
+            let response = call.await??;
+            assert_eq!(response.status, StatusCode::OK, "{}", response.text);
+            assert!(response.is_done());
+            assert_eq!(response.content(), format::completion_text(&prompt, 16));
         }
     }
     Ok(())
