--- a/node/examples/claim_runs/simulation/history.rs
+++ b/node/examples/claim_runs/simulation/history.rs
@@ -65,9 +65,8 @@
     pub fn not_run(&mut self, key: Key, moment: Instant) {
         self.count("not run");
         if self.last_run(key, moment).is_some() {
-            self.violations.push(format!(
-                "key {key} had run although its caller was told \"not run\""
-            ));
+            self.violations
+                .push(format!("key {key} had run where \"not run\" was said"));
         }
     }
 
@@ -77,9 +76,8 @@
         let runs = self.runs.get(&key);
         let known = runs.is_some_and(|runs| runs.iter().any(|run| run.response == response));
         if !known {
-            self.violations.push(format!(
-                "key {key} got a response that none of its runs gave"
-            ));
+            self.violations
+                .push(format!("key {key} got an answer of no run of its own"));
         }
     }
 
--- a/node/examples/claim_runs/simulation/mod.rs
+++ b/node/examples/claim_runs/simulation/mod.rs
@@ -97,9 +97,7 @@
     while let Some(result) = tasks.join_next().await {
         if let Err(error) = result {
             let mut history = lock(&cluster.history);
-            history
-                .violations
-                .push(format!("failed assertion: {error}"));
+            history.violations.push(format!("assertion: {error}"));
         }
     }
     let mut history = std::mem::take(&mut *lock(&cluster.history));
--- a/testutils/examples/demo.rs
+++ b/testutils/examples/demo.rs
@@ -62,7 +62,7 @@
     }
     let generation = deployment.apply_configuration(CONFIGURATION).await?;
     deployment.wait_until_converged(generation).await?;
-    println!("3 nodes in 2 data centres use configuration generation {generation}");
+    println!("generation {generation} is in force on 3 nodes in 2 data centres");
     Ok(deployment)
 }
 
@@ -114,7 +114,7 @@
     }
     let counts = deployment.counts("ledger-1").await?;
     let runs = counts["by_key"][PAYMENT_KEY].as_u64().unwrap_or(0);
-    println!("the ledger executed the payment {runs} time(s)");
+    println!("the ledger ran the payment {runs} time(s)");
     ensure!(runs == 1, "the payment was executed {runs} times");
     Ok(())
 }
@@ -142,6 +142,6 @@
     }
     let (kv, hosts) = (deployment.kv_address(), deployment.hosts_url());
     println!("export DOTTERELTALLY_KV={kv} DOTTERELTALLY_HOSTS={hosts}");
-    println!("bearer key: {BEARER_KEY}; press Ctrl-C to stop");
+    println!("bearer key: {BEARER_KEY}; interrupt to end");
     Ok(())
 }
