--- a/lib/examples/experiment/main.rs
+++ b/lib/examples/experiment/main.rs
@@ -142,8 +142,8 @@
         }
     }
     let rows = run_all(&tasks, seeds);
-    let mut csv = String::from("scenario,variant,column,median,least,greatest\n");
-    println!("| scenario | variant | {} |", COLUMNS.join(" | "));
+    let mut csv = String::from("scenario,way,column,median,least,greatest\n");
+    println!("| scenario | way | {} |", COLUMNS.join(" | "));
     println!("| --- | --- |{}", " --- |".repeat(COLUMNS.len()));
     for ((scenario, (variant, ..)), runs) in tasks.iter().zip(&rows) {
         let mut line = format!("| {} | {variant} |", scenario.name);
