--- a/lib/tests/test_dispatcher.rs
+++ b/lib/tests/test_dispatcher.rs
@@ -256,8 +256,8 @@
 /// Each dispatcher decides for itself, as it does while there is no
 /// coordinator.
 #[test]
-#[ignore = "known red: urgent work is not ordered across nodes without a coordinator"]
-fn urgent_work_at_one_dispatcher_stays_on_time_in_a_burst() {
+#[ignore = "known red: urgent work is not ordered across nodes without a home"]
+fn urgent_work_of_one_gate_stays_on_time_in_a_burst() {
     let on_time = burst_with_urgent_work_at_one_dispatcher(Simulation::new(3, &MIXED_SPEEDS, 10));
     assert!(on_time > 0.9, "urgent work on time: {on_time}");
 }
