--- a/node/tests/test_dispatch.rs
+++ b/node/tests/test_dispatch.rs
@@ -11,7 +11,7 @@
 const REQUESTS: usize = 12;
 
 /// Returns how often the engines received a prompt.
-async fn count_received(deployment: &Deployment, prompt: &str) -> Result<usize> {
+async fn count_received_with_prompt(deployment: &Deployment, prompt: &str) -> Result<usize> {
     let digest = format::digest(prompt);
     let mut count = 0;
     for name in deployment.endpoint_names() {
@@ -45,7 +45,7 @@
         Ok(response) => assert_eq!(response.run_state(), "may-have-run", "{}", response.text),
         Err(cause) => assert_eq!(point, "after", "{cause:?}"),
     }
-    assert_eq!(count_received(&deployment, "unlucky").await?, 1);
+    assert_eq!(count_received_with_prompt(&deployment, "unlucky").await?, 1);
     Ok(())
 }
 
@@ -64,7 +64,7 @@
     assert_eq!(response.run_state(), "may-have-run", "{}", response.text);
     // The restarted engine has no record of the first delivery.
     deployment.restart_endpoint(&name).await?;
-    assert_eq!(count_received(&deployment, "unlucky").await?, 0);
+    assert_eq!(count_received_with_prompt(&deployment, "unlucky").await?, 0);
     Ok(())
 }
 
@@ -94,7 +94,7 @@
         let response = deployment.chat("entry-1", &prompt, 4)?.fetch().await?;
         assert_eq!(response.status, StatusCode::OK, "{}", response.text);
         assert_eq!(response.content(), format::completion_text(&prompt, 4));
-        assert_eq!(count_received(&deployment, &prompt).await?, 1);
+        assert_eq!(count_received_with_prompt(&deployment, &prompt).await?, 1);
     }
     Ok(())
 }
@@ -115,9 +115,9 @@
             assert_eq!(response.content(), format::completion_text(&prompt, 4));
         }
         if response.run_state() == "not-run" {
-            assert_eq!(count_received(&deployment, &prompt).await?, 0);
+            assert_eq!(count_received_with_prompt(&deployment, &prompt).await?, 0);
         }
-        assert!(count_received(&deployment, &prompt).await? <= 1);
+        assert!(count_received_with_prompt(&deployment, &prompt).await? <= 1);
         deployment
             .set_controls("tally-1", &json!({"down": true}))
             .await?;
