--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Removes a request that its caller gave up, whether it waits or was just
+    /// Removes a request that its caller abandoned, whether it waits or was just
     /// admitted.
     pub(crate) fn withdraw(&mut self, now: time::Instant, request: id::Request) {
         if let Some(in_flight) = self.remove_in_flight(request) {
--- a/lib/src/balance.rs
+++ b/lib/src/balance.rs
@@ -12,7 +12,7 @@
 const AFFINITY_LOAD_FACTOR: f64 = 1.25;
 
 /// Constant part of that bound, in units of [`Candidate::load`]. Without it, an
-/// endpoint that is barely loaded would be passed over whenever the others are
+/// endpoint that is barely loaded would not be chosen whenever the others are
 /// idle.
 const AFFINITY_LOAD_SLACK: f64 = 1.5;
 
--- a/lib/src/event.rs
+++ b/lib/src/event.rs
@@ -72,7 +72,7 @@
     Demand(Vec<Demand>),
     /// Grants of tokens on endpoints.
     Granted(Vec<Grant>),
-    /// Grants given back unused.
+    /// Grants that are returned unused.
     Returned(Vec<Grant>),
 }
 
--- a/lib/src/fleet.rs
+++ b/lib/src/fleet.rs
@@ -71,7 +71,7 @@
     pub avoided_until: time::Instant,
     /// The suspect request that it is reserved for, if any.
     pub reserved: Option<id::Request>,
-    /// Fingerprints of the requests whose connection broke, until a probe tells
+    /// Fingerprints of the requests whose connection broke, until a probe shows
     /// whether the endpoint is dead.
     pub broken_fingerprints: BTreeSet<id::Fingerprint>,
 }
--- a/lib/src/quarantine.rs
+++ b/lib/src/quarantine.rs
@@ -28,7 +28,7 @@
 /// Seed that derives the mark of a fingerprint whose connection broke.
 const BROKEN_SEED: u64 = 2;
 
-/// What the marks say of a fingerprint.
+/// What the marks indicate about a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// It has no valid marks, or it was answered since it became a suspect.
@@ -73,7 +73,7 @@
 }
 
 impl Marks {
-    /// Returns what the marks say of a fingerprint.
+    /// Returns what the marks indicate about a fingerprint.
     #[must_use]
     pub fn verdict(&self, now: time::Instant, fingerprint: id::Fingerprint) -> Verdict {
         if self.is_marked(now, confirmed_mark(fingerprint)) {
--- a/lib/src/request.rs
+++ b/lib/src/request.rs
@@ -183,14 +183,14 @@
     }
 }
 
-/// Proof that a request was given up before anything was sent to an endpoint.
+/// Proof that a request was abandoned before anything was sent to an endpoint.
 #[derive(Debug)]
 pub struct NotRun {
     request: id::Request,
 }
 
 impl NotRun {
-    /// Returns the identifier of the attempt that was given up.
+    /// Returns the identifier of the attempt that was abandoned.
     #[must_use]
     pub fn request(&self) -> id::Request {
         self.request
