--- a/gateway/src/attempt.rs
+++ b/gateway/src/attempt.rs
@@ -48,7 +48,7 @@
 }
 
 impl Template {
-    /// Builds a template from a caller's request; `keys_required` tells whether
+    /// Builds a template from a caller's request; `keys_required` is true if
     /// callers need keys.
     #[must_use]
     pub fn new(
--- a/gateway/src/chain.rs
+++ b/gateway/src/chain.rs
@@ -43,7 +43,7 @@
 /// Retry delay of refusals for which no better one is known, such as those of a
 /// node that has no plan yet.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Failed connection attempts after which a request is given up.
+/// Failed connection attempts after which a request is abandoned.
 const MAX_CONNECT_FAILURES: u32 = 6;
 /// Subtracted from the caller's time limits, so that the answer reaches it in
 /// time.
--- a/gateway/src/controller/endpoints.rs
+++ b/gateway/src/controller/endpoints.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Applies one description; `None` stands for an unusable one.
+    /// Applies one description; `None` is an unusable one.
     pub fn update(&mut self, now: time::Instant, name: id::Endpoint, entry: Option<Entry>) {
         let Some(entry) = entry else {
             tracing::warn!(endpoint = %name, "endpoint description is unusable");
--- a/gateway/src/coordinator/wire.rs
+++ b/gateway/src/coordinator/wire.rs
@@ -16,7 +16,7 @@
 
 /// Encodes a request. Points in time are sent as the time left from `now`, as
 /// an instant of one node's clock means nothing to another node; a longest pause
-/// of zero stands for none.
+/// of zero means none.
 pub(super) fn write_request(request: &Request, now: time::Instant, mut wire: ask::Builder<'_>) {
     wire.set_service(request.service.as_str());
     wire.set_tier(request.tier.0);
