--- a/node/src/claim/releaser.rs
+++ b/node/src/claim/releaser.rs
@@ -126,7 +126,7 @@
 }
 
 /// Releases one claim: replies to the waiting caller, if any, within the time
-/// limit, and goes on in the background unless the result is final.
+/// limit, and continues in the background unless the result is final.
 async fn release<S: kv::Store>(store: S, limits: Limits, mut job: Job) {
     if let Some(reply) = job.reply.take() {
         let confirm = confirm(&store, &job.identity);
--- a/node/src/dispatch.rs
+++ b/node/src/dispatch.rs
@@ -46,7 +46,7 @@
 ];
 
 /// Request headers of the caller that are not forwarded to the endpoint; some of
-/// them are set anew.
+/// them are set to new values.
 const NOT_FORWARDED: [HeaderName; 8] = [
     AUTHORIZATION,
     ACCEPT_ENCODING,
@@ -93,7 +93,7 @@
     fn restore(consumed: Self::Consumed, unsent: &Message) -> Self;
 }
 
-/// Stands for the claim of a call that needs none.
+/// Placeholder for the claim of a call that needs none.
 #[derive(Clone, Copy, Debug)]
 pub struct Unclaimed;
 
--- a/node/src/membership.rs
+++ b/node/src/membership.rs
@@ -133,7 +133,7 @@
         self.cast(Message::Quarantine(fingerprint, ttl));
     }
 
-    /// Tells the peers that this node shuts down; returns once the exchanges
+    /// Notifies the peers that this node shuts down; returns once the exchanges
     /// with a few of them have ended.
     pub async fn leave(&self) {
         let (sender, receiver) = oneshot::channel();
--- a/node/src/observer/cache.rs
+++ b/node/src/observer/cache.rs
@@ -114,7 +114,7 @@
     }
 
     /// Assigns a number to an event; none if the event is not newer than the
-    /// last one. The second value tells whether events are missing before it.
+    /// last one. The second value is true if events are missing before it.
     fn number(&mut self, event: &Cache) -> Option<(Cache, bool)> {
         let step = match self.received {
             None => 1,
--- a/node/src/rules.rs
+++ b/node/src/rules.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// Builds the rules anew at each change of the configuration, until every
+/// Rebuilds the rules at each change of the configuration, until every
 /// receiver is dropped.
 #[must_use]
 pub fn follow(mut configuration: configuration::Receiver) -> Receiver {
--- a/node/src/tracker.rs
+++ b/node/src/tracker.rs
@@ -154,7 +154,7 @@
 
     /// Reports that the endpoint sent the response to another request.
     ///
-    /// The core is told [`Outcome::Stalled`]: the fault is in the connection, so
+    /// The core receives [`Outcome::Stalled`]: the fault is in the connection, so
     /// that a probe on a new one decides whether the endpoint is usable.
     pub fn mismatched(self) {
         self.end(Outcome::Stalled, Completion::Crossed);
--- a/node/tests/test_silence.rs
+++ b/node/tests/test_silence.rs
@@ -25,8 +25,8 @@
     deployment.chat("entry-1", prompt, 4)?.fetch().await
 }
 
-/// A stream whose connection falls silent ends with an error, and the engine
-/// goes on serving others on new connections.
+/// A stream whose connection becomes silent ends with an error, and the engine
+/// continues to serve others on new connections.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_silent_stream_is_reported_as_cut() -> Result<()> {
     let deployment = start(1).await?;
